--- a/internal/router/chain/acceptor.go
+++ b/internal/router/chain/acceptor.go
@@ -1,8 +1,8 @@
 package chain
 
-// onPrepare promises to accept no proposal of a lower number for the successor of the current view.
+// onPrepare promises to accept no proposal with a lower number for the successor of the current view.
 func (n *Node) onPrepare(m *Message) {
-	if !n.admits(m) {
+	if !n.checkProposalNumber(m) {
 		return
 	}
 	acceptor := &n.state.acceptor
@@ -16,7 +16,7 @@
 
 // onAccept accepts a proposed view unless a higher proposal number was promised.
 func (n *Node) onAccept(m *Message) {
-	if !n.admits(m) {
+	if !n.checkProposalNumber(m) {
 		return
 	}
 	n.state.acceptor = acceptorState{
@@ -27,9 +27,9 @@
 	n.send(m.From, Message{Kind: AcceptReply, ProposalNumber: m.ProposalNumber})
 }
 
-// admits reports whether this node is an acceptor that has promised no number above that of a message. A
-// proposer with too low a number gets a Nack.
-func (n *Node) admits(m *Message) bool {
+// checkProposalNumber reports whether this node is an acceptor and has promised no number above that of a
+// message. If the message's number is too low, it sends the proposer a Nack.
+func (n *Node) checkProposalNumber(m *Message) bool {
 	if !n.state.view.isMember(n.state.id) {
 		return false
 	}
@@ -41,7 +41,7 @@
 	return true
 }
 
-// onSeal promises never to accept a first entry in the current epoch. A replica that already accepted one
+// onSeal promises never to accept an entry in the current epoch. A replica that has already accepted one
 // ignores the request.
 func (n *Node) onSeal() {
 	epoch := n.state.view.Epoch
--- a/internal/router/chain/bootstrap.go
+++ b/internal/router/chain/bootstrap.go
@@ -5,45 +5,50 @@
 	"time"
 )
 
-// retriesBeforeShrinking is how often an attempt is repeated before one with fewer members than needed
-// follows it.
+// retriesBeforeShrinking is how many times an attempt is retried before it may be followed by an attempt with
+// fewer members than bootstrapMembers.
 const retriesBeforeShrinking = 4
 
-// bootstrapState is the volatile state of a node that tries to have a first view agreed on. An attempt is a
-// first view that is proposed by BootstrapAccept; it is decided once all of its members have accepted it. One
-// that doesn't get there is followed by an attempt of a later epoch, which names the earlier ones in
-// View.Unopened. What a member has accepted is durable, in durableState.genesis.
+// bootstrapState is the volatile state of a node that tries to get a first view decided. An attempt is a
+// first view that is proposed by BootstrapAccept messages; it is decided once all of its members have
+// accepted it. An attempt that isn't decided is followed by an attempt of a later epoch, which lists the
+// earlier ones in View.Unopened. The latest attempt that a member has accepted is durable, in
+// durableState.acceptedFirstView.
 //
-// At most one attempt can ever be used, because of three invariants, which mayAcceptGenesis and hasRevoked
-// keep at each member:
+// At most one attempt can ever open or decide a successor, because mayAcceptAttempt and hasRevoked ensure
+// three invariants at each member:
 //
 //   - It accepts attempts in ascending order of epochs, at most one per epoch.
-//   - It accepts a later attempt only if that names all attempts that it has accepted, and has a majority of
-//     the chain of each attempt that it names among its members.
-//   - It never adopts an attempt that a later one which it has accepted names.
+//   - It accepts a later attempt only if that attempt lists all attempts that the member has accepted, and if
+//     the members of the later attempt include a majority of the chain of each attempt that it lists.
+//   - It never adopts an attempt that is listed by a later attempt that the member has accepted. By accepting
+//     the later one it has revoked its acceptance of the earlier one.
 //
-// Once a later attempt is decided, a majority of each earlier one therefore never adopts that one, so that it
-// can neither open nor decide a successor.
+// Therefore, once a later attempt is decided, a majority of the chain of each earlier attempt never adopts
+// that one, so that the earlier attempt can neither open nor decide a successor.
 type bootstrapState struct {
-	// view is the attempt. Its members in accepted have durably accepted it.
+	// view is the attempt. accepted are its members that have durably accepted it.
 	view     View
 	accepted []MemberID
-	// replied are the nodes that have replied since the last retry. retries counts those of this attempt.
+	// replied are the nodes that have replied since the last retry. retries is the number of retries of this
+	// attempt.
 	replied []Member
 	retries int
-	// candidates are the members that the last call of Node.Bootstrap named.
+	// candidates are the members that the last call of Node.Bootstrap passed.
 	candidates []Member
-	// competing are attempts of other nodes that view doesn't name.
+	// competing are attempts of other nodes that view doesn't list in Unopened.
 	competing []PastChain
-	// startedAt is when the attempt or its last retry began. sentAt is when BootstrapAccept was sent last.
+	// startedAt is when the attempt or its last retry began. sentAt is when BootstrapAccept was last sent.
 	startedAt, sentAt time.Duration
 }
 
-// Bootstrap asks members to accept the first view, which is decided once all of them have. A member that has
-// already accepted another first view replies with that one, and this node continues with it.
+// Bootstrap asks members to accept a first view, which is decided once all of them have accepted it. A member
+// that has already accepted another first view replies with that one, and this node either continues with it
+// or lists it in its next attempt.
 //
-// The caller, one designated node, may repeat the call with the members that it knows by then. While they are
-// too few to survive the loss of a disk, nothing is sent until Config.BootstrapRetryAfter has passed.
+// Only one designated node should call Bootstrap. It may repeat the call with the members that it knows by
+// then. While there are too few members to tolerate the loss of a disk, nothing is sent until
+// Config.BootstrapRetryAfter has passed since the start of the node.
 func (n *Node) Bootstrap(now time.Duration, members []Member) Effects {
 	n.begin(now)
 	if n.state.view.Epoch == 0 && len(members) > 0 {
@@ -52,8 +57,8 @@
 	return n.finish()
 }
 
-// bootstrapWith starts the first attempt, or starts it again with other members while none has replied.
-// Otherwise the members are candidates of the next attempt.
+// bootstrapWith starts the first attempt, or restarts it with other members as long as no member has replied.
+// After that, the members are the candidates for the next attempt.
 func (n *Node) bootstrapWith(members []Member) {
 	attempt := n.bootstrap
 	if attempt == nil && n.awaitsMoreMembers(members) {
@@ -66,31 +71,32 @@
 	attempt.candidates = members
 }
 
-// awaitsMoreMembers reports whether a first attempt should wait because too few members are known.
+// awaitsMoreMembers reports whether the first attempt should wait because too few members are known.
 func (n *Node) awaitsMoreMembers(members []Member) bool {
 	return len(members) < n.config.bootstrapMembers() && n.now-n.started < n.config.BootstrapRetryAfter
 }
 
-// bootstrapMembers returns how many members a first view needs so that a majority is left, with the required
-// replicas, after all losses that are tolerated.
+// bootstrapMembers returns how many members a first view needs so that both a majority of them and
+// RequiredReplicas are left after the tolerated number of losses, RequiredReplicas-1.
 func (c *Config) bootstrapMembers() int { return 2*c.RequiredReplicas - 1 }
 
-// startBootstrapAttempt proposes a first view; candidates are the members to add if it fails.
+// startBootstrapAttempt proposes a first view; candidates are the members to add to the next attempt if this
+// one is not decided.
 func (n *Node) startBootstrapAttempt(view View, candidates []Member) {
 	n.bootstrap = &bootstrapState{view: view, candidates: candidates, startedAt: n.now}
-	n.sendGenesis()
+	n.sendBootstrapAccept()
 }
 
-// sendGenesis sends the attempt to all members, also to those that have accepted it: their replies show that
-// their disks still exist.
-func (n *Node) sendGenesis() {
+// sendBootstrapAccept sends the attempt to all members, also to those that have accepted it: their replies
+// show that their disks still exist.
+func (n *Node) sendBootstrapAccept() {
 	n.bootstrap.sentAt = n.now
 	for _, member := range n.bootstrap.view.Members {
 		n.sendTo(member, Message{Kind: BootstrapAccept, Address: n.config.Self.Address, View: n.bootstrap.view})
 	}
 }
 
-// tickBootstrap lets time pass for the bootstrap, which ends once this node has a view.
+// tickBootstrap performs the time-dependent work of the bootstrap, which ends once this node has a view.
 func (n *Node) tickBootstrap() {
 	switch {
 	case n.state.view.Epoch != 0:
@@ -102,15 +108,15 @@
 	}
 }
 
-// takeOverBootstrap continues an attempt that this node has accepted if it is not notified of any decided
-// view for too long: the node that bootstraps may have failed for good.
+// takeOverBootstrap proposes the attempt that this node has accepted if it has learned of no decided view by
+// bootstrapTakeoverAt: the bootstrapping node may have failed permanently.
 func (n *Node) takeOverBootstrap() {
-	if n.state.genesis.Epoch > 0 && n.now >= n.bootstrapTakeoverAt {
-		n.startBootstrapAttempt(n.state.genesis, nil)
+	if n.state.acceptedFirstView.Epoch > 0 && n.now >= n.bootstrapTakeoverAt {
+		n.startBootstrapAttempt(n.state.acceptedFirstView, nil)
 	}
 }
 
-// continueBootstrap starts the next attempt, or retries or resends this one, when that is due.
+// continueBootstrap starts the next attempt, retries the current one or resends it, when that is due.
 func (n *Node) continueBootstrap() {
 	attempt := n.bootstrap
 	if n.now-attempt.startedAt >= n.config.BootstrapRetryAfter {
@@ -123,19 +129,21 @@
 		attempt.replied = nil
 	}
 	if n.now-attempt.sentAt >= n.config.ResendAfter {
-		n.sendGenesis()
+		n.sendBootstrapAccept()
 	}
 }
 
-// resetBootstrapTakeover draws the time at which this node takes over the bootstrap.
+// resetBootstrapTakeover sets the time at which this node takes over the bootstrap, with a random jitter so
+// that the members don't do so at the same time.
 func (n *Node) resetBootstrapTakeover() {
 	jitter := time.Duration(n.config.Random.Int63n(int64(n.config.BootstrapRetryAfter)))
 	n.bootstrapTakeoverAt = n.now + n.config.BootstrapRetryAfter + jitter
 }
 
-// nextAttempt returns the attempt after this one, or false if this one should be retried: because the next
-// one would have fewer than minMembers, which is allowed only after some retries, because it would be no
-// different, or because no member could accept it.
+// nextAttempt returns the attempt that follows this one, or false if this one should be retried. That is the
+// case if the next one would have fewer than minMembers, which is allowed only after retriesBeforeShrinking
+// retries, if it would have the same members and no competing attempts to list, or if no member could accept
+// it.
 func (b *bootstrapState) nextAttempt(minMembers int) (View, bool) {
 	members, earlier := b.nextMembers(), b.earlierAttempts()
 	if len(members) < min(minMembers, len(b.view.Members)) && b.retries < retriesBeforeShrinking {
@@ -146,18 +154,19 @@
 	return next, !same && len(earlier) <= maxUnopened && next.keepsMajorities()
 }
 
-// earlierAttempts returns the attempts that the next one has to name: this one and all known before it.
+// earlierAttempts returns the attempts that the next one has to list in Unopened: this one, those that it
+// lists and the competing ones.
 func (b *bootstrapState) earlierAttempts() []PastChain {
 	earlier := slices.Clone(b.view.Unopened)
-	for _, past := range append([]PastChain{b.view.asPast()}, b.competing...) {
-		if !containsPast(earlier, past) {
+	for _, past := range append([]PastChain{b.view.pastChain()}, b.competing...) {
+		if !containsPastChain(earlier, past) {
 			earlier = append(earlier, past)
 		}
 	}
 	return earlier
 }
 
-// epochAfter returns the first epoch after those of some past chains.
+// epochAfter returns the first epoch after those of the given past chains.
 func epochAfter(earlier []PastChain) uint64 {
 	epoch := uint64(0)
 	for _, past := range earlier {
@@ -167,7 +176,7 @@
 }
 
 // nextMembers returns the members of the next attempt: the nodes that have replied, and the candidates that
-// were not asked.
+// are not members of this attempt.
 func (b *bootstrapState) nextMembers() []Member {
 	members := slices.Clone(b.replied)
 	for _, candidate := range b.candidates {
@@ -179,114 +188,117 @@
 	return members
 }
 
-// onGenesis accepts an attempt if it may, and reports the latest one that this node has accepted. The record
-// of an attempt is durable before the reply leaves, see Effects.
-func (n *Node) onGenesis(m *Message) {
-	if n.config.HasDisk && n.mayAcceptGenesis(&m.View) {
-		n.state.genesis = m.View
-		n.changed[recordGenesis] = true
+// onBootstrapAccept accepts an attempt if this node may, and replies with the latest one that it has
+// accepted. The record of an attempt is durable before the reply leaves, see Effects.
+func (n *Node) onBootstrapAccept(m *Message) {
+	if n.config.HasDisk && n.mayAcceptAttempt(&m.View) {
+		n.state.acceptedFirstView = m.View
+		n.changed[recordFirstView] = true
 		n.resetBootstrapTakeover()
 	}
-	if n.state.genesis.Epoch == 0 {
+	if n.state.acceptedFirstView.Epoch == 0 {
 		return
 	}
 	// The sender need not be a member, and its address is known only from the message.
 	n.sendTo(Member{m.From, m.Address}, Message{
-		Kind: BootstrapAcceptReply, Address: n.config.Self.Address, View: n.state.genesis,
+		Kind: BootstrapAcceptReply, Address: n.config.Self.Address, View: n.state.acceptedFirstView,
 	})
 }
 
-// mayAcceptGenesis reports whether this node may accept an attempt by the invariants of bootstrapState.
-func (n *Node) mayAcceptGenesis(view *View) bool {
+// mayAcceptAttempt reports whether this node may accept an attempt by the invariants of bootstrapState.
+func (n *Node) mayAcceptAttempt(view *View) bool {
 	switch {
-	case view.Epoch <= n.state.genesis.Epoch || !view.isMember(n.state.id):
+	case view.Epoch <= n.state.acceptedFirstView.Epoch || !view.isMember(n.state.id):
 		return false
 	case view.Epoch == 1:
 		return n.config.AllowBootstrap || n.state.bootstrapAllowed
 	case len(view.Unopened) == 0:
 		return false
 	default:
-		return view.keepsMajorities() && n.namesAcceptedAttempts(view)
+		return view.keepsMajorities() && n.listsAcceptedAttempts(view)
 	}
 }
 
-// namesAcceptedAttempts reports whether an attempt names all that this node has accepted.
-func (n *Node) namesAcceptedAttempts(view *View) bool {
-	latest := &n.state.genesis
+// listsAcceptedAttempts reports whether an attempt lists all attempts that this node has accepted.
+func (n *Node) listsAcceptedAttempts(view *View) bool {
+	latest := &n.state.acceptedFirstView
 	accepted := latest.Unopened
 	if latest.Epoch > 0 {
-		accepted = append(slices.Clone(accepted), latest.asPast())
+		accepted = append(slices.Clone(accepted), latest.pastChain())
 	}
-	missing := func(past PastChain) bool { return !containsPast(view.Unopened, past) }
+	missing := func(past PastChain) bool { return !containsPastChain(view.Unopened, past) }
 	return !slices.ContainsFunc(accepted, missing)
 }
 
-// hasRevoked reports whether this node has accepted a later attempt than a first view. It must never adopt
-// that view then.
+// hasRevoked reports whether this node has accepted a later attempt that lists a first view. It must never
+// adopt that first view then.
 func (n *Node) hasRevoked(view *View) bool {
-	return n.state.view.Epoch == 0 && containsPast(n.state.genesis.Unopened, view.asPast())
+	return n.state.view.Epoch == 0 && containsPastChain(n.state.acceptedFirstView.Unopened, view.pastChain())
 }
 
-// awaitsBootstrap reports whether this node has revoked an attempt that others may have adopted. They have to
-// proceed without it until it learns of another view.
-func (n *Node) awaitsBootstrap() bool { return n.state.view.Epoch == 0 && n.state.genesis.Epoch > 1 }
+// awaitsBootstrap reports whether this node has no view and has revoked an attempt that others may have
+// adopted. They have to proceed without this node until it learns of another view.
+func (n *Node) awaitsBootstrap() bool {
+	return n.state.view.Epoch == 0 && n.state.acceptedFirstView.Epoch > 1
+}
 
-// onGenesisReply decides the first view once all of its members have accepted it.
-func (n *Node) onGenesisReply(m *Message) {
+// onBootstrapAcceptReply adopts and announces the first view once all of its members have accepted it, which
+// decides it.
+func (n *Node) onBootstrapAcceptReply(m *Message) {
 	attempt := n.bootstrap
 	if n.state.view.Epoch != 0 || attempt == nil || m.View.Epoch == 0 {
 		return
 	}
 	if !m.View.equal(attempt.view) {
-		n.onCompetingGenesis(m)
+		n.onCompetingAttempt(m)
 		return
 	}
-	attempt.recordReply(m)
-	attempt.recordAccepted(m.From)
+	attempt.addReplied(m)
+	attempt.addAccepted(m.From)
 	if attempt.acceptedByAll() {
 		n.adopt(attempt.view)
 		n.broadcastView(nil)
 	}
 }
 
-// recordAccepted adds a member to those that have accepted the attempt.
-func (b *bootstrapState) recordAccepted(id MemberID) {
+// addAccepted adds a member to those that have accepted the attempt.
+func (b *bootstrapState) addAccepted(id MemberID) {
 	if !slices.Contains(b.accepted, id) {
 		b.accepted = append(b.accepted, id)
 	}
 }
 
-// acceptedByAll reports whether all members have accepted the attempt, which decides it.
+// acceptedByAll reports whether all members have accepted the attempt, which means that it is decided.
 func (b *bootstrapState) acceptedByAll() bool {
 	missing := func(member Member) bool { return !slices.Contains(b.accepted, member.ID) }
 	return !slices.ContainsFunc(b.view.Members, missing)
 }
 
-// onCompetingGenesis continues with another attempt if that is later, or of the same epoch while nobody has
-// accepted the own one. Any other is recorded for the next attempt to name.
-func (n *Node) onCompetingGenesis(m *Message) {
+// onCompetingAttempt continues with the attempt of another node if it is later, or if it has the same epoch
+// and no member has accepted this node's attempt. Otherwise the next attempt has to list it.
+func (n *Node) onCompetingAttempt(m *Message) {
 	attempt := n.bootstrap
 	sameEpoch := m.View.Epoch == attempt.view.Epoch
 	if m.View.Epoch > attempt.view.Epoch || sameEpoch && len(attempt.accepted) == 0 {
 		n.startBootstrapAttempt(m.View, attempt.candidates)
 		return
 	}
-	attempt.recordReply(m)
-	attempt.recordCompeting(&m.View)
+	attempt.addReplied(m)
+	attempt.addCompeting(&m.View)
 }
 
-// recordCompeting adds an attempt of another node, and those that it names, to the competing ones.
-func (b *bootstrapState) recordCompeting(view *View) {
-	for _, past := range append([]PastChain{view.asPast()}, view.Unopened...) {
-		known := containsPast(b.view.Unopened, past) || containsPast(b.competing, past)
+// addCompeting adds an attempt of another node, and the attempts that it lists, to the competing ones.
+func (b *bootstrapState) addCompeting(view *View) {
+	for _, past := range append([]PastChain{view.pastChain()}, view.Unopened...) {
+		known := containsPastChain(b.view.Unopened, past) || containsPastChain(b.competing, past)
 		if !known && len(b.competing) < maxUnopened {
 			b.competing = append(b.competing, past)
 		}
 	}
 }
 
-// recordReply adds the sender of a BootstrapAcceptReply to those that have replied.
-func (b *bootstrapState) recordReply(m *Message) {
+// addReplied adds the sender of a BootstrapAcceptReply to those that have replied.
+func (b *bootstrapState) addReplied(m *Message) {
 	member, ok := b.view.member(m.From)
 	if !ok {
 		member = Member{m.From, m.Address}
--- a/internal/router/chain/bootstrap_test.go
+++ b/internal/router/chain/bootstrap_test.go
@@ -60,7 +60,7 @@
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
 	cluster.run(500 * time.Millisecond)
 	cluster.c.Assert(cluster.view("b").Epoch > 0, qt.IsTrue)
-	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Members, qt.DeepEquals, members[:2])
+	cluster.c.Assert(cluster.machines["b"].node.state.acceptedFirstView.Members, qt.DeepEquals, members[:2])
 }
 
 func TestEmptyDiskAfterTheFirstStartAcceptsNoFirstView(t *testing.T) {
@@ -71,7 +71,7 @@
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
 	cluster.run(time.Second)
 	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
-	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(0))
+	cluster.c.Assert(cluster.machines["b"].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(0))
 }
 
 // TestBootstrapAcceptReplyGoesToTheBootstrappersAddress: a machine that knows the sender only by its
@@ -120,7 +120,7 @@
 		cluster.drop = dropKind(BootstrapAcceptReply, "a")
 		cluster.keepBootstrapping("a", members, time.Second)
 		for _, id := range cluster.order {
-			cluster.c.Assert(cluster.machines[id].node.state.genesis.Epoch, qt.Equals, uint64(1))
+			cluster.c.Assert(cluster.machines[id].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(1))
 		}
 		cluster.machines[lost].down = true
 		cluster.start("x", cluster.machines[lost].config.Self.Address, false, 3)
@@ -191,13 +191,13 @@
 		tell(id, Message{Kind: BootstrapAccept, View: first})
 	}
 	tell("a", Message{Kind: BootstrapAccept, View: second})
-	cluster.c.Assert(cluster.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(2))
+	cluster.c.Assert(cluster.machines["a"].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(2))
 	for _, id := range cluster.order {
 		tell(id, Message{Kind: ViewNotice, View: first})
 	}
 	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
 	tell("b", Message{Kind: BootstrapAccept, View: second})
-	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Epoch, qt.Equals,
+	cluster.c.Assert(cluster.machines["b"].node.state.acceptedFirstView.Epoch, qt.Equals,
 		uint64(1)) // it is in the first one
 	cluster.run(5 * time.Second)
 	cluster.mustWrite("a", 0, 1, "one")
@@ -236,8 +236,8 @@
 				Random: rand.New(rand.NewSource(1))}
 			node, _, err := Open(config, 0, nil)
 			c.Assert(err, qt.IsNil)
-			node.state.genesis = test.accepted
-			c.Check(node.mayAcceptGenesis(&test.view), qt.Equals, test.want)
+			node.state.acceptedFirstView = test.accepted
+			c.Check(node.mayAcceptAttempt(&test.view), qt.Equals, test.want)
 		})
 	}
 }
@@ -257,7 +257,7 @@
 		return m.Kind == BootstrapAcceptReply && from == "c"
 	}
 	cluster.keepBootstrapping("a", members, 5*time.Second)
-	cluster.c.Assert(cluster.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(1))
+	cluster.c.Assert(cluster.machines["a"].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(1))
 	cluster.machines["b"].down = true
 	cluster.start("x", "10.0.0.2", false, 3)
 	cluster.machines["x"].node.SetContacts(members)
@@ -277,5 +277,5 @@
 	cluster.mustWrite("a", 0, 1, "one")
 	restored, _, err := Open(cluster.machines["a"].config, cluster.now, cluster.machines["a"].records)
 	cluster.c.Assert(err, qt.IsNil)
-	cluster.c.Assert(restored.state.genesis.Epoch, qt.Equals, uint64(1))
+	cluster.c.Assert(restored.state.acceptedFirstView.Epoch, qt.Equals, uint64(1))
 }
--- a/internal/router/chain/codec.go
+++ b/internal/router/chain/codec.go
@@ -2,81 +2,81 @@
 
 import "encoding/binary"
 
-// encoder appends the values of a durable record one after the other, without tags. Integers are varints of
-// package binary; texts and lists have their length in front, in bytes or elements. The order of the values
-// is the format of the record, see durableState.encodeRecord.
+// encoder appends the values of a durable record one after the other, without tags. Integers are varints as
+// in package binary; strings are prefixed with their length in bytes, lists with their number of elements.
+// The order of the values is the format of the record, see durableState.encodeRecord.
 type encoder []byte
 
-// number appends an unsigned varint.
-func (e *encoder) number(value uint64) { *e = binary.AppendUvarint(*e, value) }
+// uvarint appends an unsigned varint.
+func (e *encoder) uvarint(value uint64) { *e = binary.AppendUvarint(*e, value) }
 
-// signed appends a zigzag-encoded varint.
-func (e *encoder) signed(value int64) { *e = binary.AppendVarint(*e, value) }
+// varint appends a zigzag-encoded signed varint.
+func (e *encoder) varint(value int64) { *e = binary.AppendVarint(*e, value) }
 
-// text appends the length in bytes and the bytes.
-func (e *encoder) text(value string) {
-	e.number(uint64(len(value)))
+// string appends the length in bytes and the bytes.
+func (e *encoder) string(value string) {
+	e.uvarint(uint64(len(value)))
 	*e = append(*e, value...)
 }
 
-// ids appends a list of texts.
+// ids appends a list of member IDs, which are strings.
 func (e *encoder) ids(values []MemberID) {
-	e.number(uint64(len(values)))
+	e.uvarint(uint64(len(values)))
 	for _, value := range values {
-		e.text(string(value))
+		e.string(string(value))
 	}
 }
 
 // view appends all fields of a view in their order.
 func (e *encoder) view(view *View) {
-	e.number(view.Epoch)
-	e.number(uint64(len(view.Members)))
+	e.uvarint(view.Epoch)
+	e.uvarint(uint64(len(view.Members)))
 	for _, member := range view.Members {
-		e.text(string(member.ID))
-		e.text(member.Address)
+		e.string(string(member.ID))
+		e.string(member.Address)
 	}
 	e.ids(view.Chain)
 	e.ids(view.CatchingUp)
 	e.ids(view.Sources)
-	e.number(uint64(len(view.Unopened)))
+	e.uvarint(uint64(len(view.Unopened)))
 	for _, past := range view.Unopened {
-		e.number(past.Epoch)
+		e.uvarint(past.Epoch)
 		e.ids(past.Chain)
 	}
 }
 
 // proposalNumber appends the counter and the proposer.
 func (e *encoder) proposalNumber(number ProposalNumber) {
-	e.number(number.Counter)
-	e.text(string(number.Proposer))
+	e.uvarint(number.Counter)
+	e.string(string(number.Proposer))
 }
 
 // history appends a list of versions with their digests, oldest first.
 func (e *encoder) history(past []PastEntry) {
-	e.number(uint64(len(past)))
+	e.uvarint(uint64(len(past)))
 	for i := range past {
-		e.signed(past[i].Version)
-		e.text(string(past[i].Digest[:]))
+		e.varint(past[i].Version)
+		e.string(string(past[i].Digest[:]))
 	}
 }
 
-// decoder reads what encoder wrote. From the first value on that is truncated it returns zero values and
-// empty lists, so that the caller has to check failed only once, at the end.
+// decoder reads what encoder wrote. Once a value is truncated, all reads return zero values and empty lists,
+// so the caller has to check failed only once, at the end.
 type decoder struct {
-	data   []byte // what is left of the record
+	data   []byte // rest of the record
 	failed bool   // a value was truncated
 }
 
-// fail marks the record as truncated and drops the rest of it.
+// fail marks the record as truncated and discards the rest of it.
 func (d *decoder) fail() { d.data, d.failed = nil, true }
 
-// number reads an unsigned varint.
-func (d *decoder) number() uint64 { return decodeVarint(d, binary.Uvarint) }
+// uvarint reads an unsigned varint.
+func (d *decoder) uvarint() uint64 { return decodeVarint(d, binary.Uvarint) }
 
-// signed reads a zigzag-encoded varint.
-func (d *decoder) signed() int64 { return decodeVarint(d, binary.Varint) }
+// varint reads a zigzag-encoded signed varint.
+func (d *decoder) varint() int64 { return decodeVarint(d, binary.Varint) }
 
-// decodeVarint reads a varint; read is the function of package binary for its type.
+// decodeVarint reads a varint with binary.Uvarint or binary.Varint.
 func decodeVarint[T uint64 | int64](d *decoder, read func([]byte) (T, int)) T {
 	value, size := read(d.data)
 	if size <= 0 {
@@ -87,10 +87,11 @@
 	return value
 }
 
-// count reads the length of a list or text. It fails if that exceeds the bytes that are left, as each element
-// takes at least one, so that a corrupt length allocates no more than the size of the record allows.
+// count reads the length of a list or string. It fails if the length exceeds the number of bytes left, as
+// each element takes at least one byte; a corrupt length therefore can't cause an allocation far larger than
+// the record.
 func (d *decoder) count() int {
-	value := d.number()
+	value := d.uvarint()
 	if value > uint64(len(d.data)) {
 		d.fail()
 		return 0
@@ -98,55 +99,55 @@
 	return int(value)
 }
 
-// text reads a text; the copy doesn't share memory with the record.
-func (d *decoder) text() string {
+// string reads a string. The result doesn't share memory with the record.
+func (d *decoder) string() string {
 	size := d.count()
 	value := string(d.data[:size])
 	d.data = d.data[size:]
 	return value
 }
 
-// ids reads a list of texts; an empty one is nil.
+// ids reads a list of member IDs; an empty list is returned as nil.
 func (d *decoder) ids() []MemberID {
 	var values []MemberID
 	for remaining := d.count(); remaining > 0; remaining-- {
-		values = append(values, MemberID(d.text()))
+		values = append(values, MemberID(d.string()))
 	}
 	return values
 }
 
 // view reads a view.
 func (d *decoder) view() View {
-	view := View{Epoch: d.number()}
+	view := View{Epoch: d.uvarint()}
 	for remaining := d.count(); remaining > 0; remaining-- {
-		view.Members = append(view.Members, Member{MemberID(d.text()), d.text()})
+		view.Members = append(view.Members, Member{MemberID(d.string()), d.string()})
 	}
 	view.Chain, view.CatchingUp, view.Sources = d.ids(), d.ids(), d.ids()
 	for remaining := d.count(); remaining > 0; remaining-- {
-		view.Unopened = append(view.Unopened, PastChain{d.number(), d.ids()})
+		view.Unopened = append(view.Unopened, PastChain{d.uvarint(), d.ids()})
 	}
 	return view
 }
 
 // proposalNumber reads a proposal number.
 func (d *decoder) proposalNumber() ProposalNumber {
-	return ProposalNumber{d.number(), MemberID(d.text())}
+	return ProposalNumber{d.uvarint(), MemberID(d.string())}
 }
 
-// entry reads an entry, whose body is the rest of the record and shares its memory.
+// entry reads an entry. Its body is the rest of the record and shares memory with it.
 func (d *decoder) entry() Entry {
-	entry := Entry{Epoch: d.number(), Sequence: d.number(), Version: d.signed()}
+	entry := Entry{Epoch: d.uvarint(), Sequence: d.uvarint(), Version: d.varint()}
 	entry.Body = d.data
 	return entry
 }
 
-// history reads a history. A digest shorter than Digest fails the record.
+// history reads a list of versions with their digests. A digest shorter than Digest fails the record.
 func (d *decoder) history() []PastEntry {
 	count := d.count()
 	history := make([]PastEntry, 0, count)
 	for range count {
-		past := PastEntry{Version: d.signed()}
-		if copy(past.Digest[:], d.text()) < len(past.Digest) {
+		past := PastEntry{Version: d.varint()}
+		if copy(past.Digest[:], d.string()) < len(past.Digest) {
 			d.failed = true
 		}
 		history = append(history, past)
--- a/internal/router/chain/config.go
+++ b/internal/router/chain/config.go
@@ -5,67 +5,72 @@
 	"time"
 )
 
-// Config configures a Node. It is read once, by Open.
+// Config configures a Node. Open copies it.
 type Config struct {
 	// Self is this node. Its ID is used only if the disk holds none.
 	Self Member
-	// HasDisk says that this node can be a member; without it nothing is persisted.
+	// HasDisk means that this node has a disk and can be a member. A node without a disk persists nothing.
 	HasDisk bool
-	// AllowBootstrap lets this node accept a first view of epoch 1. A disk that was first used with it set may
-	// do so also after a restart without it.
+	// AllowBootstrap lets this node accept a first view of epoch 1. A node whose disk was first used with
+	// AllowBootstrap set may do so also after a restart without it.
 	AllowBootstrap bool
 	// TargetMembers is the number of members up to which the planner adds machines; the default is 3.
 	TargetMembers int
-	// RequiredReplicas is the minimum number of replicas that commit a write, if there are as many members; it
-	// is never below a majority of the members. The default is 1.
+	// RequiredReplicas is the minimum number of replicas that have to accept a write before it is committed. It
+	// is lowered to the number of members if there are fewer, and raised to a majority of them. The default is
+	// 1.
 	RequiredReplicas int
-	// DigestOf identifies the change that a body came from. It has to be a function of the body alone, and two
-	// bodies with one digest have to be equal if the entries before them are. The default is SHA-256.
+	// DigestOf identifies the change that produced a body. It has to depend on the body alone, and two bodies
+	// with the same digest have to be equal if they follow equal entries. The default is SHA-256.
 	DigestOf func(body []byte) Digest
-	// Random draws backoffs and the first marker of each epoch.
+	// Random is the source of backoffs, of the bootstrap takeover's jitter and of the first marker of each
+	// epoch.
 	Random *rand.Rand
 
 	// HeartbeatInterval is the time between two heartbeats; the default is 100 ms.
 	HeartbeatInterval time.Duration
-	// SuspectAfter is the failure detector's timeout: a replica not seen for longer is removed from the chain.
-	// The default is 700 ms.
+	// SuspectAfter is the failure detector's timeout: a replica from which no message has arrived for longer is
+	// removed from the chain. The default is 700 ms.
 	SuspectAfter time.Duration
-	// RejoinAfter is how long a member's heartbeats have to arrive without a gap before it joins the chain; the
+	// RejoinAfter is how long a member's messages have to arrive without a gap before it joins the chain; the
 	// default is 300 ms.
 	RejoinAfter time.Duration
 	// ReplaceAfter is how long a member has to be unavailable before another machine replaces it; the default
 	// is 1.2 s.
 	ReplaceAfter time.Duration
-	// SealAfter is how long an epoch has to be without any possible head before its members seal it; the
-	// default is 1 s.
+	// SealAfter is how long every replica that could become head has to be unavailable before the members seal
+	// the epoch; the default is 1 s.
 	SealAfter time.Duration
-	// StabilizationDelay postpones a proposal that rests on differing reports, see Disputed. The default is 2.5
-	// heartbeat intervals.
+	// StabilizationDelay postpones a proposal that is based on missing or contradictory reports, see
+	// ReportsInconclusive. The default is 2.5 heartbeat intervals.
 	StabilizationDelay time.Duration
-	// ProposeStagger is the delay between the members that would propose the same view; the default is 150 ms.
+	// ProposeStagger is the delay between one member's proposal of a view and the next member's, so that they
+	// don't compete; the default is 150 ms.
 	ProposeStagger time.Duration
-	// ProposeTimeout bounds one phase of a proposal; the default is 300 ms.
+	// ProposeTimeout bounds the duration of one phase of a proposal; the default is 300 ms.
 	ProposeTimeout time.Duration
 	// ReproposeAfter is how long an acceptor waits for the decision on a view that it accepted before it
 	// proposes that view itself; the default is 500 ms.
 	ReproposeAfter time.Duration
-	// ResendAfter is how long an entry, marker or BootstrapAccept goes unacknowledged before it is sent again;
-	// the default is 200 ms.
+	// ResendAfter is how long an entry, a marker or a BootstrapAccept stays unacknowledged before it is sent
+	// again. A failing disk is probed at the same interval. The default is 200 ms.
 	ResendAfter time.Duration
 	// RequestTimeout is how long a request waits before it is answered Unavailable; the default is 2 s.
 	RequestTimeout time.Duration
-	// PersistCommitAfter is how long the committed sequence waits for another record to be persisted with; the
-	// default is 1 s.
+	// PersistCommitAfter is how long a new committed sequence waits to be persisted together with another
+	// record before it is persisted alone; the default is 1 s.
 	PersistCommitAfter time.Duration
-	// BootstrapRetryAfter is the time between attempts to agree on the first view; the default is 3 s.
+	// BootstrapRetryAfter is the time between attempts to get a first view decided; the default is 3 s.
 	BootstrapRetryAfter time.Duration
-	// QueueLimit bounds how many requests wait at a node; the default is 256.
+	// QueueLimit bounds how many requests wait at a node: those made there, and those that wait there because
+	// it is the head, each. The default is 256.
 	QueueLimit int
-	// HistoryLength bounds how many earlier entries an entry names, the same at all nodes; the default is 4096.
+	// HistoryLength bounds the number of entries in an entry's history. It has to be the same at all nodes; the
+	// default is 4096.
 	HistoryLength int
 }
 
-// withDefaults returns the configuration with defaults for what is not set.
+// withDefaults returns the configuration with unset fields replaced by their defaults.
 func (c Config) withDefaults() Config {
 	setDefault := func(value *time.Duration, defaultValue time.Duration) {
 		if *value == 0 {
--- a/internal/router/chain/fence_test.go
+++ b/internal/router/chain/fence_test.go
@@ -151,7 +151,7 @@
 		cluster.c.Assert(replayed.View(), qt.DeepEquals, restored.View())
 		cluster.c.Assert(replayed.state.accepted.Entry, qt.DeepEquals, restored.state.accepted.Entry)
 		cluster.c.Assert(replayed.state.acceptor.promised, qt.Equals, restored.state.acceptor.promised)
-		cluster.c.Assert(replayed.state.genesis, qt.DeepEquals, restored.state.genesis)
+		cluster.c.Assert(replayed.state.acceptedFirstView, qt.DeepEquals, restored.state.acceptedFirstView)
 	}
 }
 
@@ -176,7 +176,7 @@
 			cluster.c.Assert(record[len(record)-1], qt.Not(qt.Equals), byte(0), qt.Commentf("kind %d", record[0]))
 		}
 	}
-	for _, kind := range []byte{recordGenesis, recordView, recordAcceptor, recordSuccessor, recordPosition} {
+	for _, kind := range []byte{recordFirstView, recordView, recordAcceptor, recordSuccessor, recordPosition} {
 		cluster.c.Assert(kinds[kind], qt.IsTrue)
 	}
 }
--- a/internal/router/chain/forward.go
+++ b/internal/router/chain/forward.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// forwardedRequest is a local request that was sent to the head.
+// forwardedRequest is a request made at this node that was sent to the head.
 type forwardedRequest struct {
 	kind     requestKind
 	deadline time.Duration
-	// knownEntry is the committed entry that the request names to the head, so that it may leave out the body.
+	// knownEntry is the committed entry that this node knew when it sent the request. If a read returns the
+	// same entry, the head omits its body.
 	knownEntry Entry
 }
 
-// Propose asks for a write. The reply carries the request's number, which this node must never have used
+// Propose requests a write. The reply carries the request's number, which this node must never have used
 // before, not even before a restart.
 func (n *Node) Propose(now time.Duration, request uint64, proposal Proposal) Effects {
 	n.begin(now)
@@ -24,9 +25,9 @@
 	return n.finish()
 }
 
-// Confirm asks whether a change is committed whose body the caller can't produce any more: the one with that
-// digest that led from version Expected to Version. Nothing is ever written. Applied and Conflict mean the
-// same as for Propose; while the change could still be proposed the reply is Unavailable.
+// Confirm asks whether a change is committed, for a caller that no longer has its body: the change with the
+// given digest that leads from version Expected to Version. It never writes anything. Applied and Conflict
+// mean the same as for Propose; while the change could still be proposed, the reply is Unavailable.
 func (n *Node) Confirm(now time.Duration, request uint64, change ChangeID) Effects {
 	n.begin(now)
 	n.forward(request, confirmRequest, Message{
@@ -36,7 +37,7 @@
 	return n.finish()
 }
 
-// Read asks for the committed entry; the reply is linearizable.
+// Read requests the committed entry; the read is linearizable.
 func (n *Node) Read(now time.Duration, request uint64) Effects {
 	n.begin(now)
 	n.forward(request, readRequest, Message{
@@ -60,7 +61,8 @@
 // reply answers a local request.
 func (n *Node) reply(reply Reply) { n.effects.Replies = append(n.effects.Replies, reply) }
 
-// onForward takes a request at the head. Another node rejects it and sends the view that names the head.
+// onForward handles a request at the head. Any other node answers Unavailable and sends its view, which names
+// the head.
 func (n *Node) onForward(m *Message) {
 	r := request{from: m.From, id: m.Request, deadline: n.now + n.config.RequestTimeout}
 	switch {
@@ -85,7 +87,7 @@
 	}
 }
 
-// onForwardReply delivers the head's answer to the local caller.
+// onForwardReply delivers the answer to a request, from the head or the tail, to the local caller.
 func (n *Node) onForwardReply(m *Message) {
 	request, ok := n.forwards[m.Request]
 	if !ok {
@@ -103,8 +105,8 @@
 	n.reply(Reply{Request: m.Request, Outcome: m.Outcome, Entry: entry})
 }
 
-// redirectForwards handles the requests that were sent to the head of an epoch that has ended: reads go to
-// the new head; the outcome of writes is unknown.
+// redirectForwards handles the requests that were sent to the head of an epoch that has ended. Reads are sent
+// to the new head. Writes and confirmations are answered Unavailable, as the outcome of a write is unknown.
 func (n *Node) redirectForwards() {
 	for _, id := range sortedKeys(n.forwards) {
 		request := n.forwards[id]
@@ -119,8 +121,8 @@
 	}
 }
 
-// expireRequests answers requests whose deadline has passed, both this node's own and those that wait at it
-// as the head.
+// expireRequests answers Unavailable to requests whose deadline has passed: those made at this node, and
+// those that wait at it because it is the head.
 func (n *Node) expireRequests() {
 	for _, id := range sortedKeys(n.forwards) {
 		if n.now >= n.forwards[id].deadline {
--- a/internal/router/chain/golden_test.go
+++ b/internal/router/chain/golden_test.go
@@ -44,7 +44,7 @@
 func goldenState() *durableState {
 	config := Config{}.withDefaults()
 	return &durableState{
-		id: "m0", bootstrapAllowed: true, genesis: goldenView(3), view: goldenView(300),
+		id: "m0", bootstrapAllowed: true, acceptedFirstView: goldenView(3), view: goldenView(300),
 		acceptor: acceptorState{promised: ProposalNumber{Counter: 9, Proposer: "m2"},
 			accepted:     ProposalNumber{Counter: 8, Proposer: "m1"},
 			acceptedView: goldenView(301)},
@@ -78,7 +78,7 @@
 		file  string
 		state *durableState
 	}{
-		{recordIdentity, "identity.bin", state}, {recordGenesis, "genesis.bin", state},
+		{recordIdentity, "identity.bin", state}, {recordFirstView, "genesis.bin", state},
 		{recordView, "view.bin", state}, {recordAcceptor, "acceptor.bin", state},
 		{recordEntry, "entry.bin", state}, {recordPosition, "position.bin", state},
 		{recordHistory, "history.bin", state}, {recordSuccessor, "successor.bin", goldenSuccessorState()},
@@ -148,7 +148,7 @@
 	c.Helper()
 	c.Assert(read.id, qt.Equals, wanted.id)
 	c.Assert(read.bootstrapAllowed, qt.Equals, wanted.bootstrapAllowed)
-	c.Assert(read.genesis, qt.DeepEquals, wanted.genesis)
+	c.Assert(read.acceptedFirstView, qt.DeepEquals, wanted.acceptedFirstView)
 	c.Assert(read.view, qt.DeepEquals, wanted.view)
 	c.Assert(read.acceptor.promised, qt.Equals, wanted.acceptor.promised)
 	c.Assert(read.acceptor.accepted, qt.Equals, wanted.acceptor.accepted)
--- a/internal/router/chain/head.go
+++ b/internal/router/chain/head.go
@@ -10,22 +10,23 @@
 // headState is the state of a node as the head of one epoch. It is volatile: a new epoch or a restart resets
 // it, and its requests are answered Unavailable.
 type headState struct {
-	// open says that the full chain has accepted the head's entry in this epoch.
+	// open means that the full chain has accepted the head's entry in this epoch.
 	open bool
-	// pending says that the latest accepted entry is a write that is not committed; waiters want its outcome.
-	// One write is pending at a time.
+	// pending means that the latest accepted entry is a write that is not committed yet. At most one write is
+	// pending at a time. waiters are the requests that asked for it.
 	pending bool
 	waiters []request
-	// sentAt is when the latest accepted entry was sent last.
+	// sentAt is when the latest accepted entry was last sent.
 	sentAt time.Duration
 	// queuedWrites wait until the pending write is committed.
 	queuedWrites []request
-	// queuedForMarker are to be confirmed by the next marker: reads, confirmations, and writes that seem to
-	// conflict, which is certain only once the chain has confirmed that this node is still its head.
+	// queuedForMarker are the requests to be confirmed by the next marker: reads, confirmations, and writes that
+	// seem to conflict. A conflict is certain only once the chain has confirmed that this node is still its
+	// head.
 	queuedForMarker []request
-	// awaitingMarker are the requests that the marker in flight confirms; none is in flight if it is empty.
+	// awaitingMarker are the requests that the marker in flight confirms; if empty, no marker is in flight.
 	awaitingMarker []request
-	// marker is the number of the latest marker; it was sent last at markerSentAt.
+	// marker is the number of the latest marker, which was last sent at markerSentAt.
 	marker       uint64
 	markerSentAt time.Duration
 }
@@ -36,19 +37,19 @@
 const (
 	writeRequest requestKind = iota
 	readRequest
-	// confirmRequest asks whether a change is committed, and writes nothing.
+	// confirmRequest asks whether a change is committed, without writing anything.
 	confirmRequest
 )
 
-// request is a request that waits at the head.
+// request is a client request that waits at the head.
 type request struct {
 	kind requestKind
-	// from is the node at which the request came in, id its number there.
+	// from is the node at which a client made the request, id the request's number there.
 	from MemberID
 	id   uint64
-	// knownSequence is that of the entry that a reader already has.
+	// knownSequence is the sequence of the entry that the reader already has.
 	knownSequence uint64
-	// proposal and digest are the change that a write makes or a confirmation asks for.
+	// proposal and digest identify the change that a write makes or a confirmation asks about.
 	proposal Proposal
 	digest   Digest
 	deadline time.Duration
@@ -59,18 +60,18 @@
 	return n.state.view.Epoch > 0 && n.state.view.head() == n.state.id
 }
 
-// queues returns all queues of requests.
+// queues returns pointers to all queues of requests.
 func (h *headState) queues() []*[]request {
 	return []*[]request{&h.waiters, &h.queuedWrites, &h.queuedForMarker, &h.awaitingMarker}
 }
 
-// queued returns the number of requests that wait.
+// queued returns the number of requests in all queues.
 func (h *headState) queued() int {
 	return len(h.waiters) + len(h.queuedWrites) + len(h.queuedForMarker) + len(h.awaitingMarker)
 }
 
-// resetHead answers all requests of the epoch that has ended and starts with a marker that no earlier epoch
-// or incarnation used.
+// resetHead answers Unavailable to all requests of the epoch that has ended. It draws the first marker at
+// random, so that replies to markers of an earlier epoch or incarnation don't match.
 func (n *Node) resetHead() {
 	for _, queue := range n.head.queues() {
 		for _, r := range *queue {
@@ -80,8 +81,8 @@
 	n.head = headState{marker: n.config.Random.Uint64()}
 }
 
-// sendAccepted sends the head's latest accepted entry down the chain: at the start of an epoch, which opens
-// once the tail has acknowledged it, and again while an acknowledgement is missing.
+// sendAccepted sends the head's latest accepted entry down the chain: first at the start of an epoch, which
+// opens once the tail has acknowledged the entry, and again while the acknowledgement is missing.
 func (n *Node) sendAccepted() {
 	if n.state.accepted.Epoch != n.state.view.Epoch {
 		n.state.accepted.Epoch = n.state.view.Epoch
@@ -91,7 +92,8 @@
 	n.repropagate()
 }
 
-// resend repeats what was not acknowledged within Config.ResendAfter.
+// resend sends the entry and the marker in flight again if they were not acknowledged within
+// Config.ResendAfter.
 func (n *Node) resend() {
 	head := &n.head
 	if !n.isHead() {
@@ -105,7 +107,7 @@
 	}
 }
 
-// onAck opens the epoch or commits the pending write.
+// onAck handles the tail's acknowledgement: it opens the epoch or commits the pending write.
 func (n *Node) onAck(m *Message) {
 	if !n.isHead() || m.From != n.state.view.tail() || m.Sequence != n.state.accepted.Sequence {
 		return
@@ -137,7 +139,7 @@
 	head.waiters = nil
 }
 
-// addWrite queues a write. One that equals the pending write waits for its outcome.
+// addWrite queues a write. A write that equals the pending one waits for the outcome of that one.
 func (n *Node) addWrite(r request) {
 	head := &n.head
 	switch {
@@ -163,12 +165,12 @@
 	n.startNext()
 }
 
-// isAccepted reports whether the latest accepted entry is the one that a write asks for.
+// isAccepted reports whether the latest accepted entry is the result of a write.
 func (n *Node) isAccepted(r request) bool {
 	return n.state.accepted.Version == r.proposal.Version && n.state.accepted.digest == r.digest
 }
 
-// startNext starts the next write and the next marker if none is in flight.
+// startNext starts the next write if none is pending, and the next marker if none is in flight.
 func (n *Node) startNext() {
 	if n.head.open {
 		n.startNextWrite()
@@ -176,8 +178,8 @@
 	}
 }
 
-// startNextWrite starts the first queued write whose expected version is the accepted one. All before it, and
-// confirmations, need a marker.
+// startNextWrite starts the first queued write whose expected version is the accepted one. The requests
+// before it in the queue, which are other writes and confirmations, have to wait for a marker.
 func (n *Node) startNextWrite() {
 	head := &n.head
 	for !head.pending && len(head.queuedWrites) > 0 {
@@ -191,7 +193,7 @@
 	}
 }
 
-// startNextMarker sends a marker for all requests that need one if none is in flight.
+// startNextMarker sends one marker for all requests that need one, unless a marker is in flight.
 func (n *Node) startNextMarker() {
 	head := &n.head
 	if len(head.awaitingMarker) == 0 && len(head.queuedForMarker) > 0 {
@@ -214,14 +216,14 @@
 	n.propagate(r.from, r.id)
 }
 
-// sendMarker sends the marker of the batch in flight down the chain.
+// sendMarker sends the current marker down the chain.
 func (n *Node) sendMarker() {
 	n.head.markerSentAt = n.now
 	n.passMarker(n.head.marker)
 }
 
-// onMarkerReply answers the batch that the marker confirms: after the last of its requests came in, the chain
-// was still in this epoch.
+// onMarkerReply answers the batch of requests that the marker confirms: the reply proves that the chain was
+// still in this epoch after the last request of the batch had arrived.
 func (n *Node) onMarkerReply(m *Message) {
 	head := &n.head
 	if !n.isHead() || m.From != n.state.view.tail() || m.Marker != head.marker || len(head.awaitingMarker) == 0 {
@@ -236,8 +238,8 @@
 	n.startNext()
 }
 
-// answerConfirmed answers a batch that a marker has confirmed. While a write is pending, others of the batch
-// go back to the front of the queue of writes, in their order.
+// answerConfirmed answers a batch of requests that a marker has confirmed. While a write is pending, requests
+// other than reads return to the front of the queue of writes, in their order.
 func (n *Node) answerConfirmed(batch []request) {
 	head := &n.head
 	var requeued []request
@@ -248,32 +250,34 @@
 		case head.pending:
 			requeued = append(requeued, r)
 		default:
-			n.decide(r)
+			n.resolve(r)
 		}
 	}
 	head.queuedWrites = slices.Concat(requeued, head.queuedWrites)
 }
 
-// decide answers a write or confirmation by the committed entry and its history. A change that was committed
-// is acknowledged even if a later one has replaced it. If the history may no longer include the change, its
-// outcome is unknown, and the answer is Unavailable.
-func (n *Node) decide(r request) {
+// resolve answers a write or confirmation from the committed entry and its history, or starts the write if
+// its expected version is the committed one. A change that was committed is acknowledged even if a later one
+// has replaced it. If the change may be older than the history, its outcome is unknown, and the answer is
+// Unavailable.
+func (n *Node) resolve(r request) {
 	accepted := &n.state.accepted
 	switch {
 	case accepted.includes(r.proposal.Version, r.digest):
 		n.answer(r, Applied)
 	case r.kind == confirmRequest && accepted.Version == r.proposal.Expected:
-		n.answer(r, Unavailable) // it may still be proposed
+		n.answer(r, Unavailable) // the change may still be proposed
 	case accepted.Version == r.proposal.Expected:
 		n.startWrite(r)
-	case accepted.mayHaveForgotten(r.proposal.Version):
+	case accepted.mayPrecedeHistory(r.proposal.Version):
 		n.answer(r, Unavailable)
 	default:
 		n.answer(r, Conflict)
 	}
 }
 
-// answerRead answers a read with the committed entry, or Unavailable if this head doesn't know it.
+// answerRead answers a read with the committed entry, or Unavailable if this head doesn't know which entry is
+// the latest committed one.
 func (n *Node) answerRead(r request) {
 	if !n.knowsLatestCommitted() {
 		n.answer(r, Unavailable)
@@ -282,8 +286,9 @@
 	n.answer(r, Applied)
 }
 
-// knowsLatestCommitted reports whether the entry known to be committed is the latest one. Without a pending
-// write that is the accepted entry, which counts only once enough replicas have it.
+// knowsLatestCommitted reports whether the entry that this node knows to be committed is the latest one.
+// While no write is pending, the latest one is the accepted entry, which is committed only once enough
+// replicas have accepted it.
 func (n *Node) knowsLatestCommitted() bool {
 	if !n.state.committedKnown {
 		return false
@@ -291,8 +296,8 @@
 	return n.head.pending || n.state.committed.Sequence == n.state.accepted.Sequence
 }
 
-// answer sends the outcome of a request to the node at which it came in. The body is left out if the reader
-// already has it.
+// answer sends the outcome of a request to the node at which the request was made. The body is omitted if the
+// reader already has it.
 func (n *Node) answer(r request, outcome Outcome) {
 	m := Message{Kind: ForwardReply, Request: r.id, Outcome: outcome}
 	if outcome != Unavailable {
--- a/internal/router/chain/heartbeat.go
+++ b/internal/router/chain/heartbeat.go
@@ -1,6 +1,6 @@
 package chain
 
-// heartbeat returns this node's heartbeat.
+// heartbeat returns a heartbeat that reports this node's current state.
 func (n *Node) heartbeat() Message {
 	m := Message{
 		Kind:       Heartbeat,
@@ -21,8 +21,9 @@
 	return m
 }
 
-// sendHeartbeats sends heartbeats to the members; if this node is a member, to all other nodes recently
-// seen; and if no member was recently seen, to the contacts.
+// sendHeartbeats sends a heartbeat to all members. A member also sends it to each other node that has sent
+// heartbeats and was seen recently. A node that has not seen any member recently also sends it to its
+// contacts, once every contactHeartbeatPeriod heartbeat intervals.
 func (n *Node) sendHeartbeats() {
 	n.lastHeartbeat = n.now
 	m := n.heartbeat()
@@ -38,14 +39,14 @@
 			n.send(id, m)
 		}
 	}
-	contactsDue := n.now-n.lastContactsHeartbeat >= heartbeatsPerContact*n.config.HeartbeatInterval
+	contactsDue := n.now-n.lastContactsHeartbeat >= contactHeartbeatPeriod*n.config.HeartbeatInterval
 	if len(m.ReceivesFrom) == 0 && contactsDue {
 		n.heartbeatContacts(m)
 	}
 }
 
-// heartbeatContacts sends a heartbeat to contacts that are not members: one that has a newer view replies
-// with it.
+// heartbeatContacts sends a heartbeat to the contacts that are not members: a contact with a newer view
+// replies with that view.
 func (n *Node) heartbeatContacts(m Message) {
 	n.lastContactsHeartbeat = n.now
 	for _, contact := range n.contacts {
@@ -55,7 +56,7 @@
 	}
 }
 
-// onHeartbeat learns from an open head what is committed.
+// onHeartbeat learns which entry is committed if the sender is the head and its epoch is open.
 func (n *Node) onHeartbeat(m *Message) {
 	if m.Open && m.From == n.state.view.head() {
 		n.learnCommitted(m.Sequence)
--- a/internal/router/chain/peers.go
+++ b/internal/router/chain/peers.go
@@ -3,32 +3,33 @@
 import "time"
 
 const (
-	// maxPeers bounds the table of nodes that were seen.
+	// maxPeers bounds Node.peers: once it has this many, heartbeats of unknown nodes add no more. It also bounds
+	// bootstrapState.replied.
 	maxPeers = 256
-	// forgetAfter is how long a node that is not a member stays in the table after it was last seen.
-	forgetAfter = 10 * time.Second
-	// heartbeatsPerContact is how many heartbeat intervals pass between two heartbeats to the contacts.
-	heartbeatsPerContact = 3
+	// peerExpiry is how long a node that is not a member stays in Node.peers after it was last seen.
+	peerExpiry = 10 * time.Second
+	// contactHeartbeatPeriod is the time between two heartbeats to the contacts, in heartbeat intervals.
+	contactHeartbeatPeriod = 3
 )
 
-// peerState is the last observed state of another node, like the Progress of etcd's raft.
+// peerState is the latest observed state of another node, like the Progress of etcd's raft.
 type peerState struct {
 	member Member
-	// lastSeen is when its latest message came. Of a member that was never seen, see trackMembers.
+	// lastSeen is when its latest message arrived. For a member that was never seen, see trackMembers.
 	lastSeen time.Duration
-	// stableSince is when its messages began to arrive without a gap.
+	// stableSince is when its messages began to arrive without a gap of more than Config.SuspectAfter.
 	stableSince time.Duration
-	// heartbeat is the latest one; its Kind is 0 if none has come.
+	// heartbeat is its latest heartbeat; the Kind is 0 if none has arrived.
 	heartbeat Message
-	// degradedSince is when the peer began to report that it drains or that its disk fails; 0 if it does not.
+	// degradedSince is when the peer began to report that it is draining or stalled; 0 if it reports neither.
 	degradedSince time.Duration
 }
 
-// isDegraded reports whether the sender of a heartbeat drains or its disk fails.
+// isDegraded reports whether the sender of a heartbeat is draining or stalled.
 func isDegraded(heartbeat *Message) bool { return heartbeat.Draining || heartbeat.Stalled }
 
-// recordReceipt updates the peer that a message came from; a heartbeat adds an unknown one.
-func (n *Node) recordReceipt(m *Message) {
+// updatePeer updates the state of the node that sent a message. A heartbeat from an unknown node adds it.
+func (n *Node) updatePeer(m *Message) {
 	if m.From == "" || m.From == n.state.id {
 		return
 	}
@@ -45,13 +46,13 @@
 	}
 	peer.lastSeen = n.now
 	if m.Kind == Heartbeat {
-		peer.recordHeartbeat(m, n.now)
+		peer.updateHeartbeat(m, n.now)
 	}
 }
 
-// recordHeartbeat stores the latest heartbeat. The epoch of the accepted entry never falls, though
-// heartbeats may arrive out of order.
-func (p *peerState) recordHeartbeat(m *Message, now time.Duration) {
+// updateHeartbeat stores the latest heartbeat. Heartbeats may arrive out of order; the stored epoch of the
+// accepted entry nevertheless never falls.
+func (p *peerState) updateHeartbeat(m *Message, now time.Duration) {
 	if m.Address != "" {
 		p.member.Address = m.Address
 	}
@@ -66,8 +67,8 @@
 	p.heartbeat.EntryEpoch = entryEpoch
 }
 
-// trackMembers adds members that were never seen, as if they had been seen now, or when another identity of
-// the same machine was first seen.
+// trackMembers adds members that were never seen to the peers. Such a member counts as last seen now or, if
+// another identity at the same address has sent heartbeats, as last seen at the stableSince of that identity.
 func (n *Node) trackMembers() {
 	for _, member := range n.state.view.Members {
 		if n.peers[member.ID] != nil || member.ID == n.state.id {
@@ -83,9 +84,9 @@
 	}
 }
 
-// compensateForProcessStall keeps members from being suspected only because this process itself did not run.
-// It leaves out members that had timed out before the stall, and all candidates: one that stopped meanwhile
-// must not count as live.
+// compensateForProcessStall keeps members from being suspected only because this process itself did not run
+// for a while. It doesn't apply to members that had timed out before the stall, nor to candidates: a
+// candidate that stopped in the meantime must not count as live.
 func (n *Node) compensateForProcessStall() {
 	lastTick := n.lastTick
 	n.lastTick = n.now
@@ -100,21 +101,21 @@
 	}
 }
 
-// forgetPeers removes nodes that are not members and were not seen for long.
-func (n *Node) forgetPeers() {
+// removeExpiredPeers removes nodes that are not members and were not seen for peerExpiry.
+func (n *Node) removeExpiredPeers() {
 	for id, peer := range n.peers {
-		if n.now-peer.lastSeen > forgetAfter && !n.state.view.isMember(id) {
+		if n.now-peer.lastSeen > peerExpiry && !n.state.view.isMember(id) {
 			delete(n.peers, id)
 		}
 	}
 }
 
-// recentlySeen reports whether a peer was seen within Config.SuspectAfter.
+// recentlySeen reports whether a message from a peer has arrived within Config.SuspectAfter.
 func (n *Node) recentlySeen(peer *peerState) bool {
 	return n.now-peer.lastSeen <= n.config.SuspectAfter
 }
 
-// memberByID returns a node with its latest known address.
+// memberByID returns the node with an ID and its latest known address.
 func (n *Node) memberByID(id MemberID) Member {
 	if id == n.state.id {
 		return n.Self()
@@ -143,7 +144,7 @@
 	return observation
 }
 
-// observePeer returns the planner's input of another node.
+// observePeer returns the planner's input about another node.
 func (n *Node) observePeer(peer *peerState) PeerObservation {
 	heartbeat := &peer.heartbeat
 	observed := PeerObservation{
@@ -161,7 +162,7 @@
 		observed.ReportedInEpoch, observed.ReceivesFrom = true, heartbeat.ReceivesFrom
 	}
 	if hasReported && heartbeat.Epoch < n.state.view.Epoch {
-		observed.BehindFor = n.now - n.epochSince
+		observed.StaleEpochFor = n.now - n.epochStarted
 	}
 	if observed.Degraded {
 		observed.DegradedFor = n.now - peer.degradedSince
@@ -169,7 +170,7 @@
 	return observed
 }
 
-// observeSelf returns the planner's input of this node, from the heartbeat that it would send now.
+// observeSelf returns the planner's input about this node, taken from the heartbeat that it would send now.
 func (n *Node) observeSelf() PeerObservation {
 	own := n.heartbeat()
 	self := PeerObservation{
--- a/internal/router/chain/plan.go
+++ b/internal/router/chain/plan.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Rules are the planner's settings, see Config.
-type Rules struct {
+// PlannerConfig is the planner's configuration; see the fields of the same names in Config.
+type PlannerConfig struct {
 	TargetMembers    int
 	RequiredReplicas int
 	SuspectAfter     time.Duration
@@ -14,39 +14,41 @@
 	ReplaceAfter     time.Duration
 }
 
-// PeerObservation is the state of one node as another one has observed it.
+// PeerObservation is the state of one node as another node has observed it.
 type PeerObservation struct {
 	Member  Member
 	HasDisk bool
-	// SinceLastSeen is the time since its latest message; StableFor is how long its messages had arrived without
-	// a gap by then.
+	// SinceLastSeen is the time since its latest message arrived; StableFor is how long its messages had arrived
+	// without a gap by then.
 	SinceLastSeen, StableFor time.Duration
-	// Degraded says that it drains or that its disk fails, DegradedFor for how long; Draining distinguishes the
-	// two.
+	// Degraded means that it is draining or stalled, see Message; Draining means that it is draining but not
+	// stalled. DegradedFor is how long it has been degraded.
 	Degraded, Draining bool
 	DegradedFor        time.Duration
 	// EntryEpoch is the latest epoch in which it accepted an entry.
 	EntryEpoch uint64
-	// Sealed says that it has promised never to open the current epoch.
+	// Sealed means that it has promised never to open the current epoch.
 	Sealed bool
-	// ReportedInEpoch says that it has sent a heartbeat in the current epoch; ReceivesFrom are the members
-	// that it named there.
+	// ReportedInEpoch means that its latest heartbeat is of the current epoch; ReceivesFrom are the members
+	// that the heartbeat names as those from which it receives.
 	ReportedInEpoch bool
 	ReceivesFrom    []MemberID
-	// BehindFor is how long it has sent heartbeats of an earlier epoch in the current one: nothing reaches it.
-	BehindFor time.Duration
+	// StaleEpochFor is how long the current epoch has lasted while its latest heartbeat is still of an earlier
+	// one, which means that no message reaches it; 0 if its latest heartbeat is not of an earlier epoch.
+	StaleEpochFor time.Duration
 }
 
-// Observation is what one node has observed of all nodes. Itself and all members of its view are among Peers.
+// Observation is what the node Self has observed of all nodes. Peers includes Self and all members of its
+// view.
 type Observation struct {
 	Self  MemberID
 	Peers map[MemberID]PeerObservation
 }
 
-// Plan returns the view that should follow, or false if the current one should stay or none can follow. It
-// is a pure function: members with the same observation plan the same view.
-func Plan(view View, observed Observation, rules Rules) (View, bool) {
-	p := planner{view: &view, observed: observed, rules: rules}
+// Plan returns the view that should follow the given one, or false if the given one should stay or no view
+// can follow it. It is a pure function: members with the same observation plan the same view.
+func Plan(view View, observed Observation, config PlannerConfig) (View, bool) {
+	p := planner{view: &view, observed: observed, config: config}
 	choices := [][]Member{view.Members}
 	if changed, ok := p.changedMembers(); ok {
 		choices = [][]Member{changed, view.Members}
@@ -66,10 +68,10 @@
 	return View{}, false
 }
 
-// SealNeeded reports whether no view can follow for lack of a possible head, and one could if replicas at
-// which the epoch isn't open promised never to open it.
-func SealNeeded(view View, observed Observation, rules Rules) bool {
-	p := planner{view: &view, observed: observed, rules: rules}
+// SealNeeded reports whether no view can follow the given one for lack of a possible head, but one could if a
+// replica at which the epoch isn't open promised never to open it.
+func SealNeeded(view View, observed Observation, config PlannerConfig) bool {
+	p := planner{view: &view, observed: observed, config: config}
 	canSeal := func(id MemberID) bool {
 		return p.seenDirectly(id) && observed.Peers[id].EntryEpoch < view.Epoch
 	}
@@ -84,11 +86,12 @@
 	return possible
 }
 
-// Disputed reports whether two live members don't receive from each other, or a live one has not reported in
-// this epoch. A plan may then rest on outdated reports, and should be proposed only after it has been stable
-// for Config.StabilizationDelay.
-func Disputed(view View, observed Observation, rules Rules) bool {
-	p := planner{view: &view, observed: observed, rules: rules}
+// ReportsInconclusive reports whether the observation of the live members is contradictory or incomplete: two
+// of them don't receive from each other, or one has not been seen by this node or has not reported in this
+// epoch. A plan may then be based on outdated reports, and should be proposed only after it has been
+// unchanged for Config.StabilizationDelay.
+func ReportsInconclusive(view View, observed Observation, config PlannerConfig) bool {
+	p := planner{view: &view, observed: observed, config: config}
 	ids := memberIDs(view.Members)
 	for i, reporter := range ids {
 		if !p.alive(reporter) {
@@ -105,22 +108,23 @@
 	return false
 }
 
-// planner holds the inputs of one run of Plan or of the predicates beside it.
+// planner holds the inputs of one call of Plan, SealNeeded or ReportsInconclusive.
 type planner struct {
 	view     *View
 	observed Observation
-	rules    Rules
-	// assumeSealed treats the epoch as sealed, to learn whether sealing it would help.
+	config   PlannerConfig
+	// assumeSealed makes the planner treat the epoch as sealed, to find out whether sealing it would help.
 	assumeSealed bool
 }
 
-// seenDirectly reports whether this node itself has seen another one within SuspectAfter.
+// seenDirectly reports whether this node itself has received from another one within SuspectAfter.
 func (p *planner) seenDirectly(id MemberID) bool {
 	peer, ok := p.observed.Peers[id]
-	return ok && peer.SinceLastSeen <= p.rules.SuspectAfter
+	return ok && peer.SinceLastSeen <= p.config.SuspectAfter
 }
 
-// alive reports whether a node was seen by this node, or by a member that this node has seen.
+// alive reports whether this node, or a member that this node has seen, has received from a node within
+// SuspectAfter.
 func (p *planner) alive(id MemberID) bool {
 	if p.seenDirectly(id) {
 		return true
@@ -131,19 +135,20 @@
 	})
 }
 
-// connected reports whether two nodes receive from each other, as far as this node knows.
+// connected reports whether, as far as this node knows, two nodes receive from each other.
 func (p *planner) connected(a, b MemberID) bool {
 	return p.receivesFrom(a, b) && p.receivesFrom(b, a)
 }
 
-// receivesFrom reports whether one node receives from another. A receiver that has not reported in this epoch
-// is assumed, for SuspectAfter, to receive from all.
+// receivesFrom reports whether one node receives from another. A receiver that this node has not seen, or
+// that has not reported in this epoch, is assumed to receive from all nodes. But once its heartbeats have
+// been of an earlier epoch for longer than SuspectAfter, it is taken to receive from none.
 func (p *planner) receivesFrom(receiver, sender MemberID) bool {
 	if receiver == p.observed.Self {
 		return p.seenDirectly(sender)
 	}
 	peer := p.observed.Peers[receiver]
-	if peer.BehindFor > p.rules.SuspectAfter {
+	if peer.StaleEpochFor > p.config.SuspectAfter {
 		return false
 	}
 	if !p.seenDirectly(receiver) || !peer.ReportedInEpoch || !p.view.isMember(sender) {
--- a/internal/router/chain/plan_chain.go
+++ b/internal/router/chain/plan_chain.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// canDrain reports whether a member drains and enough other replicas have its state.
-func (p *planner) canDrain(id MemberID) bool {
+// mayStop reports whether a member is draining and enough other replicas have its state.
+func (p *planner) mayStop(id MemberID) bool {
 	return p.observed.Peers[id].Draining && p.enoughOtherReplicas(id)
 }
 
-// enoughOtherReplicas reports whether a member isn't in the chain, or there are as many other healthy
-// sources in it as a write needs replicas.
+// enoughOtherReplicas reports whether a member isn't in the chain, or the chain has at least as many other
+// live and healthy sources as a write needs replicas.
 func (p *planner) enoughOtherReplicas(id MemberID) bool {
 	others := slices.DeleteFunc(slices.Clone(p.view.Chain), func(other MemberID) bool {
 		return other == id || !p.alive(other) || p.observed.Peers[other].Degraded
 	})
-	needed := replicasNeeded(p.view.Members, p.rules.RequiredReplicas)
+	needed := replicasNeeded(p.view.Members, p.config.RequiredReplicas)
 	return !p.view.inChain(id) || p.countSources(others) >= needed
 }
 
@@ -28,8 +28,8 @@
 	return count
 }
 
-// openAtReachableReplicas reports whether the epoch is open at each replica that is alive and able to open
-// it. Until then a member outside the chain may have the only copy of an entry.
+// openAtReachableReplicas reports whether the epoch is open at each replica that is alive and not stalled.
+// Until then, a member outside the chain may have the only copy of an entry.
 func (p *planner) openAtReachableReplicas() bool {
 	for _, id := range p.view.Chain {
 		peer := p.observed.Peers[id]
@@ -41,10 +41,10 @@
 	return true
 }
 
-// nextView returns the next view for a set of members, if there can be one. Its chain is without degraded
-// replicas if the others are enough; a draining one stays until enough others have its state.
+// nextView returns the next view with the given members, or false if none is possible. Its chain omits
+// degraded replicas if the others are enough; a draining source stays until enough others have its state.
 func (p *planner) nextView(members []Member) (View, bool) {
-	needed := replicasNeeded(members, p.rules.RequiredReplicas)
+	needed := replicasNeeded(members, p.config.RequiredReplicas)
 	healthy := p.longestChain(p.eligibleReplicas(members, healthyOnly))
 	if len(healthy) >= needed && (p.countSources(healthy) >= needed || !p.hasDrainingSource(members)) {
 		return p.buildView(members, healthy), true
@@ -60,7 +60,7 @@
 	return View{}, false
 }
 
-// hasDrainingSource reports whether a source in the chain drains.
+// hasDrainingSource reports whether a live source in the chain that remains a member is draining.
 func (p *planner) hasDrainingSource(members []Member) bool {
 	return slices.ContainsFunc(p.view.Chain, func(id MemberID) bool {
 		draining := p.observed.Peers[id].Draining && p.alive(id)
@@ -68,7 +68,7 @@
 	})
 }
 
-// replicaHealth says which of the old replicas a chain may keep.
+// replicaHealth says which of the current replicas the next chain may keep.
 type replicaHealth int
 
 const (
@@ -82,8 +82,9 @@
 	return !peer.Degraded || h == anyHealth || h == healthyOrDraining && peer.Draining
 }
 
-// eligibleReplicas returns the members that may be in the chain: the old replicas in their order, then those
-// that join. Sources come before the others, as they do in any chain whose epoch isn't sealed.
+// eligibleReplicas returns the members that may be in the next chain: the current replicas in their order,
+// then those that join. Of both, sources come first, as they already do in any chain whose epoch isn't
+// sealed.
 func (p *planner) eligibleReplicas(members []Member, health replicaHealth) []MemberID {
 	old := p.view.Chain
 	if p.epochSealed() {
@@ -100,7 +101,7 @@
 	}
 	for _, id := range memberIDs(members) {
 		peer := p.observed.Peers[id]
-		stable := peer.StableFor >= p.rules.RejoinAfter || !p.view.isMember(id)
+		stable := peer.StableFor >= p.config.RejoinAfter || !p.view.isMember(id)
 		add(id, !p.view.inChain(id) && p.seenDirectly(id) && stable && peer.ReportedInEpoch && !peer.Degraded)
 	}
 	sources := slices.DeleteFunc(slices.Clone(replicas), func(id MemberID) bool { return !p.isSource(id) })
@@ -108,8 +109,9 @@
 	return append(sources, others...)
 }
 
-// longestChain returns the longest chain of candidates that are connected pairwise and whose head is a
-// source; of equally long ones that whose head comes first.
+// longestChain returns the longest chain found whose replicas are pairwise connected and whose head is a
+// source. For each possible head it adds the later candidates greedily in their order; of equally long chains
+// it returns the one whose head comes first.
 func (p *planner) longestChain(candidates []MemberID) []MemberID {
 	var best []MemberID
 	for start, head := range candidates {
--- a/internal/router/chain/plan_members.go
+++ b/internal/router/chain/plan_members.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// changedMembers returns the members with one added or one replaced, if the planner wants that.
+// changedMembers returns the members with one candidate added or one member replaced by a candidate, or false
+// if the members should stay.
 func (p *planner) changedMembers() ([]Member, bool) {
 	for _, id := range p.candidates() {
 		candidate := p.observed.Peers[id]
@@ -14,16 +15,16 @@
 			members[index] = candidate.Member
 			return members, true
 		}
-		stable := candidate.StableFor >= p.rules.RejoinAfter
-		if stable && len(p.view.Members) < p.rules.TargetMembers {
+		stable := candidate.StableFor >= p.config.RejoinAfter
+		if stable && len(p.view.Members) < p.config.TargetMembers {
 			return append(slices.Clone(p.view.Members), candidate.Member), true
 		}
 	}
 	return nil, false
 }
 
-// candidates returns the nodes that may become members, those that have reported in this epoch, in a fixed
-// order.
+// candidates returns the nodes that may become members, in ascending order of their IDs. They have a disk,
+// are not degraded, were seen by this node and have reported in this epoch.
 func (p *planner) candidates() []MemberID {
 	var ids []MemberID
 	for id, peer := range p.observed.Peers {
@@ -36,7 +37,7 @@
 	return ids
 }
 
-// isSuperseded reports whether another identity of the same machine was seen later.
+// isSuperseded reports whether another identity at the same address was seen later.
 func (p *planner) isSuperseded(candidate PeerObservation) bool {
 	for _, other := range p.observed.Peers {
 		sameMachine := other.Member.Address == candidate.Member.Address && candidate.Member.Address != ""
@@ -47,27 +48,27 @@
 	return false
 }
 
-// indexReplacedBy returns the index of the member that a candidate replaces. One at the candidate's own
-// address that was not seen since the candidate was is replaced at once; otherwise it is the one unavailable
-// for longest, or one that drains. The candidate must have been seen after the member became replaceable:
-// its disk may be lost by now.
+// indexReplacedBy returns the index of the member that a candidate replaces. A member at the candidate's own
+// address that was not seen since the candidate first was is replaced at once. Otherwise it is the member
+// that has been unavailable for longest, or a draining one. In that case the candidate must have been seen
+// after the member became replaceable, as the disk of a candidate that is no longer seen may be lost.
 func (p *planner) indexReplacedBy(candidate PeerObservation) (int, bool) {
 	if index, ok := p.indexOfSameMachine(candidate); ok {
 		return index, true
 	}
-	if candidate.StableFor < p.rules.RejoinAfter || !p.openAtReachableReplicas() {
+	if candidate.StableFor < p.config.RejoinAfter || !p.openAtReachableReplicas() {
 		return 0, false
 	}
 	if index, ok := p.indexOfUnavailable(candidate); ok {
 		return index, true
 	}
 	return validIndex(slices.IndexFunc(p.view.Members, func(member Member) bool {
-		return p.canDrain(member.ID) && candidate.SinceLastSeen <= p.observed.Peers[member.ID].DegradedFor
+		return p.mayStop(member.ID) && candidate.SinceLastSeen <= p.observed.Peers[member.ID].DegradedFor
 	}))
 }
 
 // indexOfSameMachine returns the index of the member at a candidate's address that was not seen since the
-// candidate was.
+// candidate's messages began to arrive without a gap.
 func (p *planner) indexOfSameMachine(candidate PeerObservation) (int, bool) {
 	return validIndex(slices.IndexFunc(p.view.Members, func(member Member) bool {
 		sameMachine := member.Address == candidate.Member.Address && member.Address != ""
@@ -76,10 +77,10 @@
 	}))
 }
 
-// indexOfUnavailable returns the index of the member that is unavailable for longest, if it was so for long
-// enough when a candidate was last seen.
+// indexOfUnavailable returns the index of the member that has been unavailable for longest, if it had been
+// unavailable for more than ReplaceAfter when the candidate was last seen.
 func (p *planner) indexOfUnavailable(candidate PeerObservation) (int, bool) {
-	longest, replaced := p.rules.ReplaceAfter+candidate.SinceLastSeen, -1
+	longest, replaced := p.config.ReplaceAfter+candidate.SinceLastSeen, -1
 	for index, member := range p.view.Members {
 		if unavailable := p.unavailableFor(member.ID); unavailable > longest {
 			longest, replaced = unavailable, index
@@ -88,13 +89,14 @@
 	return validIndex(replaced)
 }
 
-// validIndex returns an index with whether there is one; the functions of package slices return -1 if not.
+// validIndex converts an index that is -1 for "not found", as in package slices, to an index and a boolean.
 func validIndex(index int) (int, bool) { return max(index, 0), index >= 0 }
 
-// unavailableFor returns for how long no member has seen a member, or its disk has failed; 0 if it must not
-// be replaced yet. One that has timed out and is still in the chain may have the only copy of an entry: a
-// view without it in the chain has to come first. A failing disk is replaced only when enough others have
-// its state.
+// unavailableFor returns for how long a member has been unavailable: its disk has been failing, no message
+// has reached it, or no live member has received from it. It returns 0 if the member must not be replaced
+// yet. A member that has timed out and is still in the chain may have the only copy of an entry: a view
+// without it in the chain has to come first. A member with a failing disk is replaced only when enough other
+// replicas have its state.
 func (p *planner) unavailableFor(id MemberID) time.Duration {
 	peer := p.observed.Peers[id]
 	switch {
@@ -102,8 +104,8 @@
 		return max(peer.DegradedFor, peer.SinceLastSeen)
 	case p.view.inChain(id):
 		return 0
-	case peer.BehindFor > p.rules.SuspectAfter:
-		return peer.BehindFor
+	case peer.StaleEpochFor > p.config.SuspectAfter:
+		return peer.StaleEpochFor
 	case p.alive(id):
 		return 0
 	default:
--- a/internal/router/chain/plan_sources.go
+++ b/internal/router/chain/plan_sources.go
@@ -9,10 +9,10 @@
 	return p.assumeSealed || slices.ContainsFunc(p.view.Chain, sealed)
 }
 
-// isSource reports whether a member has every committed entry, so that it may be the head.
+// isSource reports whether a member is known to have every committed entry, so that it may be the head.
 func (p *planner) isSource(id MemberID) bool {
 	entryEpoch := p.observed.Peers[id].EntryEpoch
-	if p.view.inChain(id) && (!p.view.isFresh(id) || entryEpoch == p.view.Epoch) {
+	if p.view.inChain(id) && (!p.view.isCatchingUp(id) || entryEpoch == p.view.Epoch) {
 		return true
 	}
 	if !p.epochSealed() {
@@ -20,20 +20,21 @@
 	}
 	completeEpoch, wasSource := uint64(0), slices.Contains(p.view.Sources, id)
 	for _, past := range p.view.Unopened {
-		if p.openedIn(past, id) {
+		if p.lastOpened(past, id) {
 			completeEpoch, wasSource = past.Epoch, true
 		}
 	}
 	return wasSource && p.nothingCommittedSince(completeEpoch)
 }
 
-// openedIn reports whether a past epoch is the latest that was open at a node, which then has what was
-// committed up to the end of that epoch.
-func (p *planner) openedIn(past PastChain, id MemberID) bool {
+// lastOpened reports whether a past epoch is the latest one that was open at a node. The node then has
+// everything that was committed up to the end of that epoch.
+func (p *planner) lastOpened(past PastChain, id MemberID) bool {
 	return past.Epoch == p.observed.Peers[id].EntryEpoch && slices.Contains(past.Chain, id)
 }
 
-// nothingCommittedSince reports whether nothing was committed in any unopened epoch after one.
+// nothingCommittedSince reports whether it is certain that nothing was committed in any unopened epoch after
+// the given one.
 func (p *planner) nothingCommittedSince(epoch uint64) bool {
 	return !slices.ContainsFunc(p.view.Unopened, func(past PastChain) bool {
 		return past.Epoch > epoch && !p.nothingCommittedIn(past)
@@ -41,7 +42,7 @@
 }
 
 // nothingCommittedIn reports whether a past epoch has a replica that accepted no entry in it and, being in a
-// later epoch, never will.
+// later epoch, never will. Nothing was committed in that epoch then.
 func (p *planner) nothingCommittedIn(past PastChain) bool {
 	return slices.ContainsFunc(past.Chain, func(id MemberID) bool {
 		peer := p.observed.Peers[id]
@@ -55,7 +56,8 @@
 	return !slices.ContainsFunc(p.view.Chain, closed)
 }
 
-// buildView returns the next view, with the members' latest addresses.
+// buildView returns the next view with the given members, at their latest known addresses, and the given
+// chain.
 func (p *planner) buildView(members []Member, chain []MemberID) View {
 	next := View{Epoch: p.view.Epoch + 1, Members: slices.Clone(members), Chain: chain}
 	for i, member := range next.Members {
@@ -79,8 +81,8 @@
 	return next
 }
 
-// unopened returns the unopened epochs of the next view, and the members that have all that was committed
-// before them.
+// unopened returns the Unopened of the next view, and the members that have everything that was committed
+// before the first of these epochs.
 func (p *planner) unopened() ([]PastChain, []MemberID) {
 	switch {
 	case p.openAtFullChain():
@@ -88,21 +90,21 @@
 	case p.epochSealed():
 		return p.view.Unopened, p.view.Sources
 	case len(p.view.Unopened) < maxUnopened:
-		return append(slices.Clone(p.view.Unopened), p.view.asPast()), p.view.Sources
+		return append(slices.Clone(p.view.Unopened), p.view.pastChain()), p.view.Sources
 	default:
-		remaining, sources := p.forgetUnopened()
-		return append(remaining, p.view.asPast()), sources
+		remaining, sources := p.dropUnopened()
+		return append(remaining, p.view.pastChain()), sources
 	}
 }
 
-// forgetUnopened drops one of the unopened epochs and returns the members that have all that was committed
-// before the rest. It prefers an epoch in which nothing was committed, unless that is the latest epoch that
-// was open at some node, which is a source only by that. Otherwise the oldest is dropped, and with it the
-// sources that may lack its entries.
-func (p *planner) forgetUnopened() ([]PastChain, []MemberID) {
+// dropUnopened drops one of the unopened epochs and returns the rest with the members that have everything
+// that was committed before the first of them. It prefers an epoch in which nothing was committed, unless a
+// node counts as a source only because that epoch is the latest one that was open at it. Otherwise it drops
+// the oldest epoch, and with it the sources that may lack its entries.
+func (p *planner) dropUnopened() ([]PastChain, []MemberID) {
 	sources, unopened := p.view.Sources, slices.Clone(p.view.Unopened)
 	for index, past := range unopened {
-		opened := p.openedLastIn(past)
+		opened := p.replicasThatLastOpened(past)
 		if !p.nothingCommittedIn(past) || index > 0 && len(opened) > 0 {
 			continue
 		}
@@ -110,12 +112,13 @@
 	}
 	sources = nil
 	for _, past := range unopened {
-		sources = append(sources, p.openedLastIn(past)...)
+		sources = append(sources, p.replicasThatLastOpened(past)...)
 	}
 	return unopened[1:], sources
 }
 
-// openedLastIn returns the replicas at which a past epoch is the latest that was open.
-func (p *planner) openedLastIn(past PastChain) []MemberID {
-	return slices.DeleteFunc(slices.Clone(past.Chain), func(id MemberID) bool { return !p.openedIn(past, id) })
+// replicasThatLastOpened returns the replicas of a past chain at which its epoch is the latest one that was
+// open.
+func (p *planner) replicasThatLastOpened(past PastChain) []MemberID {
+	return slices.DeleteFunc(slices.Clone(past.Chain), func(id MemberID) bool { return !p.lastOpened(past, id) })
 }
--- a/internal/router/chain/plan_test.go
+++ b/internal/router/chain/plan_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// testRules are the defaults of a fleet that tolerates the loss of one disk.
-var testRules = Rules{
+// testPlannerConfig are the defaults of a fleet that tolerates the loss of one disk.
+var testPlannerConfig = PlannerConfig{
 	TargetMembers: 3, RequiredReplicas: 2,
 	SuspectAfter: 700 * time.Millisecond,
 	RejoinAfter:  300 * time.Millisecond,
@@ -48,9 +48,9 @@
 // notReported is a node that has sent no heartbeat in this epoch.
 func notReported(p *PeerObservation) { p.ReportedInEpoch = false }
 
-// behindFor is a node that is seen but that nothing reaches.
-func behindFor(since time.Duration) peerOption {
-	return func(p *PeerObservation) { p.ReportedInEpoch, p.BehindFor = false, since }
+// staleEpochFor is a node that is seen but that nothing reaches.
+func staleEpochFor(since time.Duration) peerOption {
+	return func(p *PeerObservation) { p.ReportedInEpoch, p.StaleEpochFor = false, since }
 }
 
 // observation returns what node a observes: each listed node is alive and healthy but for its options, and
@@ -68,7 +68,7 @@
 	}
 	var reachable []MemberID
 	for id, state := range observed.Peers {
-		if state.SinceLastSeen <= testRules.SuspectAfter {
+		if state.SinceLastSeen <= testPlannerConfig.SuspectAfter {
 			reachable = append(reachable, id)
 		}
 	}
@@ -172,20 +172,20 @@
 		{"replicas that don't receive from each other", testView("a", "b", "c"),
 			nodes(b, receivesFrom("a"), third, receivesFrom("a")), "[a b c] [a b] []"},
 		{"back, and nothing reaches it", testView("a", "b"),
-			nodes(third, entryOf(3), third, behindFor(time.Second)), ""},
+			nodes(third, entryOf(3), third, staleEpochFor(time.Second)), ""},
 		{"replica that nothing reaches", testView("a", "b", "c"),
-			nodes(b, behindFor(time.Second)), "[a b c] [a c] []"},
+			nodes(b, staleEpochFor(time.Second)), "[a b c] [a c] []"},
 		{"replica that has not reported yet", testView("a", "b", "c"),
-			nodes(b, behindFor(100*time.Millisecond)), ""},
+			nodes(b, staleEpochFor(100*time.Millisecond)), ""},
 		{"candidate that nothing reaches", testView("a", "b"),
-			nodes(d, entryOf(0), d, behindFor(time.Second), third, timedOut(2*time.Second)), ""},
+			nodes(d, entryOf(0), d, staleEpochFor(time.Second), third, timedOut(2*time.Second)), ""},
 		{"candidate replaces a member that nothing reaches", testView("a", "b"),
-			nodes(d, entryOf(0), third, behindFor(2*time.Second)), "[a b d] [a b d] [d]"},
+			nodes(d, entryOf(0), third, staleEpochFor(2*time.Second)), "[a b d] [a b d] [d]"},
 		{"timed out here, seen by another", testView("a", "c"),
 			nodes(b, timedOut(time.Second), third, receivesFrom("a", "b")), ""},
 	} {
 		c.Run(test.name, func(c *qt.C) {
-			next, changed := Plan(test.view, observation(test.observed), testRules)
+			next, changed := Plan(test.view, observation(test.observed), testPlannerConfig)
 			got := ""
 			if changed {
 				got = fmt.Sprint(memberIDs(next.Members), next.Chain, next.CatchingUp)
@@ -198,10 +198,10 @@
 
 func TestMembersGrowOneByOne(t *testing.T) {
 	c := qt.New(t)
-	rules := testRules
-	rules.TargetMembers = 5
+	config := testPlannerConfig
+	config.TargetMembers = 5
 	seen := observation(map[MemberID][]peerOption{"a": nil, "b": nil, "c": nil, "d": nil, "e": nil})
-	next, changed := Plan(testView("a", "b", "c"), seen, rules)
+	next, changed := Plan(testView("a", "b", "c"), seen, config)
 	c.Assert(changed, qt.IsTrue)
 	c.Assert(memberIDs(next.Members), qt.DeepEquals, []MemberID{"a", "b", "c", "d"})
 }
@@ -212,14 +212,14 @@
 	closed := observation(map[MemberID][]peerOption{
 		"a": nil, "b": {entryOf(4)}, "c": {timedOut(time.Second), entryOf(4)},
 	})
-	next, changed := Plan(view, closed, testRules)
+	next, changed := Plan(view, closed, testPlannerConfig)
 	c.Assert(changed, qt.IsTrue)
 	c.Assert(next.Unopened, qt.DeepEquals, []PastChain{{5, view.Chain}})
 	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "b", "c"})
 	for range maxUnopened {
 		view.Unopened = append(view.Unopened, PastChain{1, nil})
 	}
-	next, _ = Plan(view, closed, testRules)
+	next, _ = Plan(view, closed, testPlannerConfig)
 	c.Assert(next.Unopened, qt.HasLen, maxUnopened)
 	c.Assert(next.Unopened[maxUnopened-1], qt.DeepEquals, PastChain{5, view.Chain})
 	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "b", "c"})
@@ -232,10 +232,10 @@
 	nodes := func(ofC ...peerOption) Observation {
 		return observation(map[MemberID][]peerOption{"a": {entryOf(4)}, "b": {timedOut(time.Second)}, "c": ofC})
 	}
-	c.Assert(SealNeeded(view, nodes(entryOf(4)), testRules), qt.IsTrue)
-	c.Assert(SealNeeded(view, nodes(timedOut(time.Second)), testRules), qt.IsFalse)
+	c.Assert(SealNeeded(view, nodes(entryOf(4)), testPlannerConfig), qt.IsTrue)
+	c.Assert(SealNeeded(view, nodes(timedOut(time.Second)), testPlannerConfig), qt.IsFalse)
 	view.Sources = []MemberID{"b"}
-	c.Assert(SealNeeded(view, nodes(entryOf(4)), testRules), qt.IsFalse)
+	c.Assert(SealNeeded(view, nodes(entryOf(4)), testPlannerConfig), qt.IsFalse)
 }
 
 // TestSourceSurvivesManyUnopenedEpochs lets b and c join the chain by turns, in epochs none of which opens.
@@ -251,7 +251,7 @@
 		nodes := map[MemberID][]peerOption{"a": reported(view.Epoch), "b": reported(5), "c": reported(3)}
 		away := []MemberID{"b", "c"}[round%2]
 		nodes[away] = append(nodes[away], timedOut(time.Second))
-		next, ok := Plan(view, observation(nodes), testRules)
+		next, ok := Plan(view, observation(nodes), testPlannerConfig)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(next.Chain[0], qt.Equals, MemberID("a"))
 		c.Assert(len(next.Unopened) <= maxUnopened, qt.IsTrue)
@@ -264,7 +264,7 @@
 		"c": {entryOf(3), sealed, receivesFrom("b", "c")},
 	})
 	left.Self = "b"
-	next, ok := Plan(view, left, testRules)
+	next, ok := Plan(view, left, testPlannerConfig)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(next.Chain[0], qt.Equals, MemberID("b"))
 }
@@ -287,7 +287,7 @@
 	nodes := observation(map[MemberID][]peerOption{
 		"a": {entryOf(100)}, "b": {entryOf(5), notReported}, "c": {entryOf(12)},
 	})
-	next, ok := Plan(view, nodes, testRules)
+	next, ok := Plan(view, nodes, testPlannerConfig)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(next.Unopened, qt.HasLen, maxUnopened)
 	c.Assert(next.Unopened[0].Epoch, qt.Equals, uint64(11))
@@ -307,7 +307,7 @@
 	nodes := map[MemberID][]peerOption{
 		"a": {entryOf(100)}, "b": {entryOf(5), receivesFrom("a")}, "c": {entryOf(11), receivesFrom("a")},
 	}
-	next, _ := Plan(view, observation(nodes), testRules)
+	next, _ := Plan(view, observation(nodes), testPlannerConfig)
 	c.Assert(next.Unopened[0].Epoch, qt.Equals, uint64(10))
 	c.Assert(next.Unopened[1].Epoch, qt.Equals, uint64(11)) // c is a source only by it
 	c.Assert(next.Unopened[2].Epoch, qt.Equals, uint64(13))
--- a/internal/router/chain/proposal_number.go
+++ b/internal/router/chain/proposal_number.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// ProposalNumber is a Paxos proposal number: a counter, and the proposer to make it unique. The zero number
-// is below all others.
+// ProposalNumber is a Paxos proposal number: a counter, made unique by the proposer's ID. The zero value is
+// below all others.
 type ProposalNumber struct {
 	Counter  uint64
 	Proposer MemberID
--- a/internal/router/chain/proposer.go
+++ b/internal/router/chain/proposer.go
@@ -15,35 +15,37 @@
 	phaseAccepting               // waits for a majority of AcceptReply
 )
 
-// proposerState is the state of the Paxos proposer for the successor of the current view. It is volatile.
+// proposerState is the volatile state of the Paxos proposer of a successor to the current view.
 type proposerState struct {
 	phase  proposerPhase
 	number ProposalNumber
-	// maxCounter is the highest counter that was observed in this instance.
+	// maxCounter is the highest counter of a proposal number that was observed in this Paxos instance.
 	maxCounter uint64
-	// view is what is proposed.
+	// view is the proposed view.
 	view View
-	// highestAccepted is the highest number of an accepted proposal among the replies to Prepare, and
-	// highestAcceptedView its view.
+	// highestAccepted is the highest number of an accepted proposal among the replies to Prepare;
+	// highestAcceptedView is its view.
 	highestAccepted     ProposalNumber
 	highestAcceptedView View
-	// replied are the members that have replied in the current phase, which ends at the deadline.
+	// replied are the members that have replied in the current phase, which times out at the deadline.
 	replied  []MemberID
 	deadline time.Duration
-	// backoffUntil is when the next proposal may begin.
+	// backoffUntil is the earliest time at which the next proposal may begin.
 	backoffUntil time.Duration
-	// planned is the result of the planner, unchanged since plannedSince; its epoch is 0 if there is none.
+	// planned is the planner's latest result, unchanged since plannedSince; its epoch is 0 if the planner wants
+	// no view.
 	planned      View
 	plannedSince time.Duration
-	// stuckSince is since when no view can follow unless the epoch is sealed; 0 if one can.
+	// stuckSince is when it was first found that no view can follow unless the epoch is sealed, or when sealing
+	// was last requested; 0 if sealing is not needed.
 	stuckSince time.Duration
-	// acceptedAt is when this node, as an acceptor, accepted a view of whose decision it has not learnt.
+	// acceptedAt is when this node, as an acceptor, last accepted a view; before that, when the epoch started.
 	acceptedAt time.Duration
 }
 
-// rules returns the planner's settings.
-func (n *Node) rules() Rules {
-	return Rules{
+// plannerConfig returns the planner's configuration.
+func (n *Node) plannerConfig() PlannerConfig {
+	return PlannerConfig{
 		TargetMembers:    n.config.TargetMembers,
 		RequiredReplicas: n.config.RequiredReplicas,
 		SuspectAfter:     n.config.SuspectAfter,
@@ -54,9 +56,9 @@
 
 // tickViewChange runs the planner and proposes its result when it is this node's turn.
 //
-// A view that was accepted and not decided is proposed again even if no planner wants it any more. As long
-// as it may still be decided, the loss of any node that it names counts like the loss of a member, and only
-// a view after it can replace that node.
+// A view that was accepted but not decided is proposed again even if no member's planner wants it any more.
+// As long as it may still be decided, the loss of any node in it counts like the loss of a member, and only a
+// view after it can replace that node.
 func (n *Node) tickViewChange() {
 	if !n.state.view.isMember(n.state.id) {
 		return
@@ -81,9 +83,9 @@
 	}
 }
 
-// updatePlan runs the planner and reports whether another view should follow.
+// updatePlan runs the planner, stores its result and reports whether another view should follow.
 func (n *Node) updatePlan(observation Observation) bool {
-	planned, ok := Plan(n.state.view, observation, n.rules())
+	planned, ok := Plan(n.state.view, observation, n.plannerConfig())
 	if !planned.equal(n.proposer.planned) {
 		n.proposer.plannedSince = n.now
 	}
@@ -91,31 +93,33 @@
 	return ok
 }
 
-// proposeAt returns when this node may propose the planned view.
+// proposeAt returns the earliest time at which this node may propose the planned view.
 func (n *Node) proposeAt(observation Observation, rankDelay time.Duration) time.Duration {
 	at := n.proposer.plannedSince + rankDelay
-	if Disputed(n.state.view, observation, n.rules()) {
+	if ReportsInconclusive(n.state.view, observation, n.plannerConfig()) {
 		at += n.config.StabilizationDelay
 	}
 	return at
 }
 
-// mayPropose reports whether this node may start a proposal now.
+// mayPropose reports whether this node may start a proposal now: it runs no proposal, its backoff has passed
+// and its disk is not failing.
 func (n *Node) mayPropose() bool {
 	return n.proposer.phase == phaseIdle && n.now >= n.proposer.backoffUntil && !n.diskFailing
 }
 
-// decisionOverdue reports whether this node has accepted a view and not learnt of a decision for too long.
+// decisionOverdue reports whether this node has accepted a view and not learned of a decision within
+// Config.ReproposeAfter plus its rank delay.
 func (n *Node) decisionOverdue(rankDelay time.Duration) bool {
 	return n.state.acceptor.accepted != (ProposalNumber{}) &&
 		n.now >= n.proposer.acceptedAt+n.config.ReproposeAfter+rankDelay
 }
 
-// tickSeal asks the replicas to seal an epoch that could neither be opened nor followed by another one for
-// Config.SealAfter.
+// tickSeal asks the replicas to seal the epoch if, for Config.SealAfter, no view could follow it without
+// that.
 func (n *Node) tickSeal(observation Observation) {
 	p := &n.proposer
-	if !SealNeeded(n.state.view, observation, n.rules()) {
+	if !SealNeeded(n.state.view, observation, n.plannerConfig()) {
 		p.stuckSince = 0
 		return
 	}
@@ -131,7 +135,8 @@
 	}
 }
 
-// rank returns how many live members propose before this one: the chain in its order, then the others.
+// rank returns how many healthy live members propose before this one. Replicas propose in the order of the
+// chain, then the other members.
 func (n *Node) rank(observation Observation) int {
 	order := slices.Clone(n.state.view.Chain)
 	for _, id := range memberIDs(n.state.view.Members) {
@@ -152,7 +157,7 @@
 	return rank
 }
 
-// prepare starts phase 1 of a proposal with a number above all that were observed.
+// prepare starts phase 1 of a proposal with a number above all numbers observed.
 func (n *Node) prepare() {
 	p := &n.proposer
 	p.maxCounter = max(p.maxCounter, n.state.acceptor.promised.Counter) + 1
@@ -169,7 +174,8 @@
 	}
 }
 
-// countReply counts a member's reply to the current proposal and reports whether a majority has replied.
+// countReply counts a member's reply in the expected phase of the current proposal and reports whether a
+// majority has replied.
 func (n *Node) countReply(m *Message, expected proposerPhase) bool {
 	p := &n.proposer
 	if p.phase != expected || m.ProposalNumber != p.number || !n.state.view.isMember(m.From) {
@@ -184,8 +190,8 @@
 	return len(p.replied) >= majority(n.state.view.Members)
 }
 
-// onPrepareReply proposes a view once a majority has promised: the accepted one of the highest number if
-// there is any, else what the planner wants.
+// onPrepareReply proposes a view once a majority has promised: the accepted view with the highest number if
+// there is any, otherwise the one that the planner wants.
 func (n *Node) onPrepareReply(m *Message) {
 	if !n.countReply(m, phasePreparing) {
 		return
@@ -198,13 +204,13 @@
 	n.propose(view)
 }
 
-// viewToPropose returns the view for phase 2, or false if the planner wants none any more. By Paxos an
-// accepted view, which may be decided already, takes precedence over the own choice.
+// viewToPropose returns the view for phase 2, or false if the planner no longer wants any. By the rules of
+// Paxos, an accepted view, which may be decided already, takes precedence over this node's own choice.
 func (n *Node) viewToPropose() (View, bool) {
 	if n.proposer.highestAccepted != (ProposalNumber{}) {
 		return n.proposer.highestAcceptedView, true
 	}
-	return Plan(n.state.view, n.observe(), n.rules())
+	return Plan(n.state.view, n.observe(), n.plannerConfig())
 }
 
 // propose starts phase 2 of the proposal.
@@ -215,7 +221,7 @@
 	n.broadcast(Message{Kind: Accept, ProposalNumber: p.number, View: p.view})
 }
 
-// onAcceptReply decides the view once a majority has accepted it.
+// onAcceptReply adopts and announces the proposed view once a majority has accepted it, which decides it.
 func (n *Node) onAcceptReply(m *Message) {
 	if !n.countReply(m, phaseAccepting) {
 		return
@@ -225,7 +231,7 @@
 	n.broadcastView(old.Members)
 }
 
-// broadcastView sends the view to its members, to former ones and to all other known nodes.
+// broadcastView sends the view to its members, to former members and to all other known nodes.
 func (n *Node) broadcastView(former []Member) {
 	notified := []MemberID{n.state.id}
 	for _, id := range slices.Concat(
@@ -238,7 +244,7 @@
 	}
 }
 
-// onNack abandons a proposal whose number is too low.
+// onNack abandons the current proposal if its number is below the promised one in the message.
 func (n *Node) onNack(m *Message) {
 	p := &n.proposer
 	p.maxCounter = max(p.maxCounter, m.ProposalNumber.Counter)
@@ -247,7 +253,8 @@
 	}
 }
 
-// backOff ends a proposal and waits a random time, so that one of two dueling proposers gets through.
+// backOff abandons the current proposal and delays the next one by a random time, so that one of two dueling
+// proposers succeeds.
 func (n *Node) backOff() {
 	p := &n.proposer
 	p.phase = phaseIdle
--- a/internal/router/chain/receive.go
+++ b/internal/router/chain/receive.go
@@ -1,9 +1,10 @@
 package chain
 
-// handle dispatches a message. Messages of a view or of clients are valid in any epoch; all others only in
-// the receiver's, so that a replaced head can neither commit nor answer reads.
+// handle dispatches a message. View notices, forwarded requests and their replies are valid in any epoch. All
+// other messages are valid only in the receiver's epoch, so that a replaced head can neither commit nor
+// answer reads.
 func (n *Node) handle(m Message) {
-	n.recordReceipt(&m)
+	n.updatePeer(&m)
 	switch m.Kind {
 	case ViewNotice:
 		n.adopt(m.View)
@@ -14,7 +15,7 @@
 	case ForwardReply:
 		n.onForwardReply(&m)
 		return
-	case Prepare, Append: // they carry the sender's view, and go on to the check of epochs
+	case Prepare, Append: // these carry the sender's view; their epoch is checked below
 		n.adopt(m.View)
 	}
 	switch epoch := n.state.view.Epoch; {
@@ -23,19 +24,19 @@
 	case m.Epoch < epoch:
 		n.sendView(m.From)
 	default:
-		n.handleOfEpoch(&m)
+		n.handleCurrentEpoch(&m)
 	}
 }
 
-// handleOfEpoch dispatches a message of the node's own epoch.
-func (n *Node) handleOfEpoch(m *Message) {
+// handleCurrentEpoch dispatches a message of the node's own epoch.
+func (n *Node) handleCurrentEpoch(m *Message) {
 	switch m.Kind {
 	case Heartbeat:
 		n.onHeartbeat(m)
 	case BootstrapAccept:
-		n.onGenesis(m)
+		n.onBootstrapAccept(m)
 	case BootstrapAcceptReply:
-		n.onGenesisReply(m)
+		n.onBootstrapAcceptReply(m)
 	case Prepare:
 		n.onPrepare(m)
 	case PrepareReply:
@@ -63,17 +64,19 @@
 	}
 }
 
-// requestView sends a heartbeat: its older epoch is answered with the view.
+// requestView asks a node of a later epoch for its view: it sends a heartbeat, and as the heartbeat has an
+// older epoch, the receiver answers with its view.
 func (n *Node) requestView(from MemberID) {
 	n.send(from, n.heartbeat())
 }
 
-// sendView sends the latest decided view.
+// sendView sends the latest decided view that this node knows.
 func (n *Node) sendView(to MemberID) {
 	n.send(to, Message{Kind: ViewNotice, View: n.state.view})
 }
 
-// adopt installs a decided view if it is newer than the node's own.
+// adopt installs a decided view if it is newer than the node's own and this node has not revoked it, see
+// hasRevoked.
 func (n *Node) adopt(view View) {
 	if view.Epoch <= n.state.view.Epoch || n.hasRevoked(&view) {
 		return
@@ -87,9 +90,10 @@
 	}
 }
 
-// startEpoch resets what belongs to one epoch. It draws one random number, for the first marker.
+// startEpoch resets the volatile state that belongs to one epoch. It draws one random number, for the first
+// marker.
 func (n *Node) startEpoch() {
-	n.epochSince = n.now
+	n.epochStarted = n.now
 	n.proposer = proposerState{acceptedAt: n.now}
 	n.trackMembers()
 	n.resetHead()
--- a/internal/router/chain/replica.go
+++ b/internal/router/chain/replica.go
@@ -2,20 +2,22 @@
 
 import "slices"
 
-// enoughReplicas reports whether the chain is long enough for its entries to count as committed.
+// enoughReplicas reports whether the chain has enough replicas for an entry that all of them have accepted to
+// be committed.
 func (n *Node) enoughReplicas() bool {
 	view := &n.state.view
 	return len(view.Chain) >= replicasNeeded(view.Members, n.config.RequiredReplicas)
 }
 
-// onAppend accepts an entry from the predecessor and propagates it once it is durable.
+// onAppend accepts an entry from the predecessor and propagates it. The entry is durable before the messages
+// of this step leave, see Effects.
 func (n *Node) onAppend(m *Message) {
 	view, accepted := &n.state.view, &n.state.accepted
 	if m.From != view.predecessor(n.state.id) || n.state.sealed == view.Epoch {
 		return
 	}
 	if accepted.Epoch == view.Epoch && m.Sequence < accepted.Sequence {
-		return // delayed by the network
+		return // an older entry, delayed by the network
 	}
 	if !accepted.matches(m) {
 		n.acceptNew(m)
@@ -28,11 +30,12 @@
 	n.repropagate()
 }
 
-// acceptNew accepts an entry other than the latest accepted one, or fetches its body.
+// acceptNew accepts an entry that is not the latest accepted one, or fetches its body and history if they are
+// needed and missing.
 func (n *Node) acceptNew(m *Message) {
 	view, accepted := &n.state.view, &n.state.accepted
 	if accepted.Epoch == view.Epoch && m.Sequence == accepted.Sequence {
-		return // within an epoch, a sequence has one entry
+		return // within an epoch there is only one entry per sequence number
 	}
 	extends := accepted.isPredecessorOf(m)
 	if !m.HasBody || !m.Resend && !extends {
@@ -40,7 +43,7 @@
 		return
 	}
 	if accepted.Epoch == view.Epoch && n.enoughReplicas() {
-		// The head starts a write only after the one before it is committed.
+		// The head starts a write only after the previous one is committed, so the accepted entry is.
 		n.setCommitted()
 	}
 	entry := Entry{Epoch: view.Epoch, Sequence: m.Sequence, Version: m.Version, Body: m.Body}
@@ -54,9 +57,9 @@
 	n.repropagate()
 }
 
-// acceptSuccessor accepts the entry that follows the latest accepted one, which is committed. It is persisted
-// without its history. As a step persists at most one record of a kind, an entry that is accepted after
-// another one in the same step is persisted with its full history.
+// acceptSuccessor accepts the entry that follows the latest accepted one, which is committed. The new entry
+// is persisted without its history. As a step persists at most one record of a kind, an entry that is
+// accepted after another one in the same step is persisted with its full history.
 func (n *Node) acceptSuccessor(entry Entry, digest Digest) {
 	next := n.state.accepted.successor(entry, digest, n.config.HistoryLength)
 	if n.changed[recordEntry] || n.changed[recordSuccessor] {
@@ -67,7 +70,7 @@
 	n.changed[recordSuccessor] = true
 }
 
-// replaceAccepted accepts an entry with its full history.
+// replaceAccepted accepts an entry and persists it with its full history.
 func (n *Node) replaceAccepted(entry acceptedEntry) {
 	n.state.accepted = entry
 	n.changed[recordEntry], n.changed[recordHistory] = true, true
@@ -75,7 +78,7 @@
 }
 
 // propagate sends a new write to the successor. The tail instead acknowledges it to the head, and answers the
-// node at which the request came in (origin) if that isn't the head.
+// node at which the request was made (origin) unless that is the head.
 func (n *Node) propagate(origin MemberID, requestID uint64) {
 	if next := n.state.view.successor(n.state.id); next != "" {
 		m := n.appendMessage()
@@ -93,8 +96,8 @@
 	}
 }
 
-// repropagate resends the latest accepted entry without its body to the successor, or acknowledges it as the
-// tail.
+// repropagate resends the latest accepted entry, without its body, to the successor. The tail instead
+// acknowledges it to the head.
 func (n *Node) repropagate() {
 	if next := n.state.view.successor(n.state.id); next != "" {
 		n.resendEntry(next, false)
@@ -103,7 +106,7 @@
 	n.sendAck()
 }
 
-// sendAck acknowledges to the head that all replicas have accepted the entry.
+// sendAck is called at the tail: it tells the head that all replicas have accepted the latest accepted entry.
 func (n *Node) sendAck() {
 	if n.enoughReplicas() {
 		n.setCommitted()
@@ -111,14 +114,15 @@
 	n.send(n.state.view.head(), Message{Kind: Ack, Sequence: n.state.accepted.Sequence})
 }
 
-// appendMessage returns an Append that identifies the latest accepted entry.
+// appendMessage returns an Append message that identifies the latest accepted entry but has no body.
 func (n *Node) appendMessage() Message {
 	accepted := &n.state.accepted
 	return Message{Kind: Append, Sequence: accepted.Sequence, Version: accepted.Version,
 		Digest: slices.Clone(accepted.digest[:])}
 }
 
-// resendEntry sends an entry that is not a new write. The receiver may not know the epoch's view yet.
+// resendEntry sends the latest accepted entry when it is not a new write. The message carries the view, which
+// the receiver may not know yet.
 func (n *Node) resendEntry(to MemberID, withBody bool) {
 	m := n.appendMessage()
 	m.Resend, m.View = true, n.state.view
@@ -128,7 +132,7 @@
 	n.send(to, m)
 }
 
-// onFetchBody resends the latest accepted entry with its body to the successor.
+// onFetchBody resends the latest accepted entry, with its body and history, to the successor.
 func (n *Node) onFetchBody(m *Message) {
 	view, accepted := &n.state.view, &n.state.accepted
 	if m.From == view.successor(n.state.id) && accepted.Epoch == view.Epoch && accepted.Sequence == m.Sequence {
@@ -136,7 +140,7 @@
 	}
 }
 
-// onCommit learns from the head what is committed.
+// onCommit handles the head's notice that an entry is committed.
 func (n *Node) onCommit(m *Message) {
 	if m.From == n.state.view.head() {
 		n.learnCommitted(m.Sequence)
@@ -160,7 +164,8 @@
 	n.state.committed, n.state.committedKnown = n.state.accepted, true
 }
 
-// onMarker passes a marker on. A replica at which the epoch isn't open drops it.
+// onMarker forwards a marker from the predecessor. A replica that has not accepted an entry in this epoch
+// drops it.
 func (n *Node) onMarker(m *Message) {
 	view := &n.state.view
 	if m.From == view.predecessor(n.state.id) && n.state.accepted.Epoch == view.Epoch {
@@ -168,7 +173,7 @@
 	}
 }
 
-// passMarker sends a marker to the successor. The tail answers it to the head.
+// passMarker sends a marker to the successor. The tail instead sends a MarkerReply to the head.
 func (n *Node) passMarker(marker uint64) {
 	view := &n.state.view
 	if next := view.successor(n.state.id); next != "" {
--- a/internal/router/chain/request.go
+++ b/internal/router/chain/request.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Proposal is a compare-and-set write: the register goes from version Expected to Version with that body.
+// Proposal is a compare-and-set write: if the register has version Expected, it gets Version and Body.
 type Proposal struct {
 	Expected int64
 	Version  int64
 	Body     []byte
 }
 
-// ChangeID identifies a change without its body.
+// ChangeID identifies the change that a Proposal makes, without its body.
 type ChangeID struct {
 	Expected int64
 	Version  int64
@@ -21,15 +21,16 @@
 
 // The outcomes.
 const (
-	// Applied says that a write is committed, or was at some time, or that a read is answered.
+	// Applied means that a write is committed or was committed and then replaced by a later one, or that a read
+	// is answered.
 	Applied Outcome = iota + 1
-	// Conflict says that the register has another version than expected. The write never was committed and
+	// Conflict means that the register has another version than expected. The write was never committed and
 	// never will be.
 	Conflict
-	// Invalid says that a proposal's version isn't above the expected one.
+	// Invalid means that a proposal's version isn't above the expected one.
 	Invalid
-	// Unavailable leaves the outcome open: a write may be committed already, later or never, or its version is
-	// older than the history and it may have been committed before that.
+	// Unavailable means that the outcome is unknown: a write may be committed already, later or never. This is
+	// also the outcome of a write that may have been committed before the oldest entry of the history.
 	Unavailable
 )
 
@@ -42,8 +43,8 @@
 	return fmt.Sprintf("outcome %d", o)
 }
 
-// Reply answers a local request. Replies to reads that are Applied carry the full entry; those to writes that
-// are Applied or Conflict only the committed entry's sequence and version.
+// Reply answers a local request. The reply to a read that is Applied carries the full entry; the reply to a
+// write that is Applied or Conflict carries only the committed entry's sequence and version.
 type Reply struct {
 	Request uint64
 	Outcome Outcome
--- a/internal/router/chain/sim_bootstrap_test.go
+++ b/internal/router/chain/sim_bootstrap_test.go
@@ -152,7 +152,7 @@
 
 // anyConsent reports whether a machine that is up has accepted a first view.
 func (w *bootstrapWorld) anyConsent() bool {
-	return w.anyMachine(func(n *Node) bool { return n.stable.genesis.Epoch > 0 })
+	return w.anyMachine(func(n *Node) bool { return n.stable.acceptedFirstView.Epoch > 0 })
 }
 
 // anyView reports whether a machine knows a view.
--- a/internal/router/chain/view.go
+++ b/internal/router/chain/view.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// MemberID is the random identity of one disk. A machine whose disk was wiped returns under another one.
+// MemberID is the random identity of a disk. A machine whose disk was wiped returns with a new one.
 type MemberID string
 
-// Member is a machine with a disk.
+// Member is a machine with a disk: the identity of the disk and the machine's address.
 type Member struct {
 	ID      MemberID
 	Address string
@@ -17,22 +17,24 @@
 // View is the configuration of the chain in one epoch. A decided view is immutable, and its slices are
 // shared. The zero View, of epoch 0, means that no view has been decided.
 //
-// What Plan and the bootstrap keep of every view: the chain has at least a majority of the members; its head
-// is a source; catching-up replicas are in the chain and the head isn't one of them; of each chain in
-// Unopened, a first view has a majority among its members.
+// Plan and the bootstrap ensure these invariants of every view: the chain contains at least a majority of the
+// members; its head is a source; catching-up replicas are in the chain, and the head isn't one of them; the
+// members of a first view include a majority of each chain in its Unopened.
 type View struct {
 	Epoch uint64
 	// Members are the acceptors that decide the next view by a majority.
 	Members []Member
 	// Chain are the replicas from head to tail, all of them members.
 	Chain []MemberID
-	// CatchingUp are the replicas that were no source (see Sources) when this view was planned. Each may lack
-	// the committed entry until it accepts one in this epoch.
+	// CatchingUp are the replicas that were not known to have every committed entry when this view was planned.
+	// Each may lack the committed entry until it accepts an entry in this epoch.
 	CatchingUp []MemberID
-	// Sources have every entry that was committed before the first epoch of Unopened, or before this one if
-	// Unopened is empty. One of them may become head if nothing is known to have been committed since.
+	// Sources are the members that have every entry that was committed before the first epoch of Unopened, or
+	// before this epoch if Unopened is empty. One of them may become head of a later view if it is certain that
+	// nothing was committed since.
 	Sources []MemberID
-	// Unopened are the latest epochs before this one that were not observed open at their full chain, ascending.
+	// Unopened are the latest epochs before this one that were not observed to be open at their full chain, in
+	// ascending order.
 	Unopened []PastChain
 }
 
@@ -42,7 +44,7 @@
 	Chain []MemberID
 }
 
-// maxUnopened bounds View.Unopened.
+// maxUnopened bounds the number of epochs in View.Unopened.
 const maxUnopened = 16
 
 // head returns the first replica of the chain.
@@ -77,13 +79,13 @@
 	return ""
 }
 
-// inChain reports whether a member is a replica.
+// inChain reports whether a node is a replica.
 func (v View) inChain(id MemberID) bool { return slices.Contains(v.Chain, id) }
 
-// isFresh reports whether a replica may lack the committed entry.
-func (v View) isFresh(id MemberID) bool { return slices.Contains(v.CatchingUp, id) }
+// isCatchingUp reports whether a replica may have lacked the committed entry when this view was planned.
+func (v View) isCatchingUp(id MemberID) bool { return slices.Contains(v.CatchingUp, id) }
 
-// member returns the member with an identity.
+// member returns the member with an ID.
 func (v View) member(id MemberID) (Member, bool) {
 	for _, member := range v.Members {
 		if member.ID == id {
@@ -99,15 +101,16 @@
 	return ok
 }
 
-// majority returns the size of a quorum of the members.
+// majority returns the size of a majority quorum of the members.
 func majority(members []Member) int { return len(members)/2 + 1 }
 
-// replicasNeeded returns how many replicas commit a write.
+// replicasNeeded returns how many replicas have to accept a write before it is committed. configured is
+// Config.RequiredReplicas.
 func replicasNeeded(members []Member, configured int) int {
 	return max(majority(members), min(configured, len(members)))
 }
 
-// memberIDs returns the members' identities in their order.
+// memberIDs returns the members' IDs in their order.
 func memberIDs(members []Member) []MemberID {
 	ids := make([]MemberID, len(members))
 	for i, member := range members {
@@ -116,13 +119,14 @@
 	return ids
 }
 
-// firstView returns a first view, of members with empty registers; unopened are the attempts before it.
+// firstView returns a view proposed by the bootstrap, whose members all have empty registers; unopened are
+// the earlier attempts.
 func firstView(epoch uint64, members []Member, unopened []PastChain) View {
 	ids := memberIDs(members)
 	return View{Epoch: epoch, Members: slices.Clone(members), Chain: ids, Sources: ids, Unopened: unopened}
 }
 
-// keepsMajorities reports whether a majority of each unopened chain are members.
+// keepsMajorities reports whether the members include a majority of each chain in Unopened.
 func (v View) keepsMajorities() bool {
 	return !slices.ContainsFunc(v.Unopened, func(past PastChain) bool {
 		remaining := 0
@@ -135,13 +139,13 @@
 	})
 }
 
-// containsPast reports whether a list has a past chain.
-func containsPast(list []PastChain, past PastChain) bool {
+// containsPastChain reports whether a list contains a past chain.
+func containsPastChain(list []PastChain, past PastChain) bool {
 	return slices.ContainsFunc(list, past.equal)
 }
 
-// asPast returns the view as a later one names it in Unopened.
-func (v View) asPast() PastChain { return PastChain{v.Epoch, v.Chain} }
+// pastChain returns the view's epoch and chain, as a later view lists them in Unopened.
+func (v View) pastChain() PastChain { return PastChain{v.Epoch, v.Chain} }
 
 // sortedIDs returns a sorted copy.
 func sortedIDs(ids []MemberID) []MemberID { return slices.Sorted(slices.Values(ids)) }
--- a/internal/router/chain/view_change_test.go
+++ b/internal/router/chain/view_change_test.go
@@ -318,7 +318,7 @@
 	heartbeat := cluster.machines["x"].node.heartbeat()
 	heartbeat.From, heartbeat.Epoch, heartbeat.ReceivesFrom = "x", 2, []MemberID{"a", "b", "c"}
 	a.Receive(cluster.now, heartbeat)
-	next, ok := Plan(view, a.observe(), a.rules())
+	next, ok := Plan(view, a.observe(), a.plannerConfig())
 	cluster.c.Assert(ok, qt.IsTrue)
 	cluster.c.Assert(memberIDs(next.Members), qt.DeepEquals, []MemberID{"a", "b", "x"})
 }
@@ -334,8 +334,8 @@
 	cluster.run(3 * time.Second)
 	a := cluster.machines["a"].node
 	a.Tick(cluster.now)
-	rules := a.rules()
-	p := planner{view: &a.state.view, observed: a.observe(), rules: rules}
+	config := a.plannerConfig()
+	p := planner{view: &a.state.view, observed: a.observe(), config: config}
 	cluster.c.Assert(p.seenDirectly("b"), qt.IsTrue)
 	cluster.c.Assert(p.seenDirectly("c"), qt.IsFalse)
 	cluster.c.Assert(p.seenDirectly("d"), qt.IsFalse)
