--- a/internal/router/chain/bootstrap_test.go
+++ b/internal/router/chain/bootstrap_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestBootstrapperWithoutADiskIsNoMember(t *testing.T) {
+func TestBootstrapperWithoutADiskIsNotAMember(t *testing.T) {
 	cluster := newCluster(t, 0, 0)
 	var members []Member
 	for i, id := range []MemberID{"a", "b", "c"} {
@@ -51,7 +51,7 @@
 	for _, member := range members {
 		cluster.start(member.ID, member.Address, true, 3)
 	}
-	cluster.run(3 * time.Second) // the bootstrapper waits for a third
+	cluster.run(3 * time.Second) // a bootstrapper that knows only two members waits for this long
 	cluster.drop = dropKind(BootstrapAcceptReply, "a")
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members[:2]) })
 	cluster.run(100 * time.Millisecond)
@@ -74,8 +74,8 @@
 	cluster.c.Assert(cluster.machines["b"].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(0))
 }
 
-// TestBootstrapAcceptReplyGoesToTheBootstrappersAddress: a machine that knows the sender only by its
-// BootstrapAccept replies to the address that the message names.
+// TestBootstrapAcceptReplyGoesToTheBootstrappersAddress: a machine that has never heard of the bootstrapper
+// replies to the address in the BootstrapAccept message.
 func TestBootstrapAcceptReplyGoesToTheBootstrappersAddress(t *testing.T) {
 	c := qt.New(t)
 	config := Config{Self: Member{"b", "10.0.0.2"}, HasDisk: true, AllowBootstrap: true,
@@ -90,7 +90,7 @@
 	c.Check(effects.Messages[0].Message.Kind, qt.Equals, BootstrapAcceptReply)
 }
 
-// newBootstrapCluster starts machines without a first view.
+// newBootstrapCluster starts machines that have no view yet.
 func newBootstrapCluster(t *testing.T, ids ...MemberID) (*testCluster, []Member) {
 	t.Helper()
 	cluster := newCluster(t, 0, 0)
@@ -106,7 +106,7 @@
 	return cluster, members
 }
 
-// keepBootstrapping calls Bootstrap twice a second, as a bootstrapper does.
+// keepBootstrapping calls Bootstrap twice a second, as a bootstrapping node does.
 func (tc *testCluster) keepBootstrapping(at MemberID, members []Member, during time.Duration) {
 	for end := tc.now + during; tc.now < end; {
 		tc.do(at, func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestBootstrapCompletesWhenADiskIsLostAfterItsConsent(t *testing.T) {
+func TestBootstrapCompletesWhenADiskIsLostAfterAccepting(t *testing.T) {
 	for _, lost := range []MemberID{"b", "c"} {
 		cluster, members := newBootstrapCluster(t, "a", "b", "c")
 		cluster.drop = dropKind(BootstrapAcceptReply, "a")
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestConsentingMembersContinueWithoutTheirBootstrapper(t *testing.T) {
+func TestMembersThatAcceptedContinueWithoutTheBootstrapper(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c", "f")
 	cluster.drop = func(_, to MemberID, m *Message) bool {
 		return to == "f" || m.Kind == BootstrapAccept && to == "c"
@@ -152,8 +152,8 @@
 	cluster.mustWrite("c", 0, 1, "one")
 }
 
-// TestRevokedFirstViewIsNeverAdopted: a decided first view that only one member has learnt of is overtaken
-// by a later attempt of the others.
+// TestRevokedFirstViewIsNeverAdopted: only one member learns that a first view was decided, and stops. The
+// others decide a later attempt, and must not adopt the first view afterwards.
 func TestRevokedFirstViewIsNeverAdopted(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c", "f")
 	first := firstView(1, members[:3], nil)
@@ -177,34 +177,34 @@
 	cluster.c.Assert(cluster.view("c").isMember("c"), qt.IsTrue)
 }
 
-// TestMinorityThatHasRevokedTheFirstViewRejoins: the others adopt a view that the member must not adopt, and
-// add it to the chain by the next one.
+// TestMinorityThatHasRevokedTheFirstViewRejoins: a member has accepted a later attempt, so it must not adopt
+// the first view that the others adopt. It rejoins the chain in a later view that the others decide.
 func TestMinorityThatHasRevokedTheFirstViewRejoins(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c")
 	first := firstView(1, members, nil)
 	second := firstView(2, members[:2], []PastChain{{1, first.Chain}})
-	tell := func(id MemberID, m Message) {
+	deliver := func(id MemberID, m Message) {
 		m.From, m.Address = "f", "10.0.0.9"
 		cluster.do(id, func(n *Node) Effects { return n.Receive(cluster.now, m) })
 	}
 	for _, id := range cluster.order {
-		tell(id, Message{Kind: BootstrapAccept, View: first})
+		deliver(id, Message{Kind: BootstrapAccept, View: first})
 	}
-	tell("a", Message{Kind: BootstrapAccept, View: second})
+	deliver("a", Message{Kind: BootstrapAccept, View: second})
 	cluster.c.Assert(cluster.machines["a"].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(2))
 	for _, id := range cluster.order {
-		tell(id, Message{Kind: ViewNotice, View: first})
+		deliver(id, Message{Kind: ViewNotice, View: first})
 	}
 	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
-	tell("b", Message{Kind: BootstrapAccept, View: second})
+	deliver("b", Message{Kind: BootstrapAccept, View: second})
 	cluster.c.Assert(cluster.machines["b"].node.state.acceptedFirstView.Epoch, qt.Equals,
-		uint64(1)) // it is in the first one
+		uint64(1)) // b has adopted the first view and accepts no further attempt
 	cluster.run(5 * time.Second)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.c.Assert(cluster.view("a").Chain, qt.HasLen, 3)
 }
 
-func TestWhichFirstViewsAMachineAccepts(t *testing.T) {
+func TestMayAcceptAttempt(t *testing.T) {
 	c := qt.New(t)
 	a, b, d := Member{"a", "1"}, Member{"b", "2"}, Member{"d", "4"}
 	first := firstView(1, []Member{a, b, {"c", "3"}}, nil)
@@ -250,7 +250,8 @@
 	cluster.mustChain("a", "a", "b", "c")
 }
 
-// TestUnresponsiveMemberIsNotDroppedEarly: an attempt of two could not survive the loss of one of them.
+// TestUnresponsiveMemberIsNotDroppedEarly: while only c's replies are lost, the bootstrapper must not go on
+// to an attempt of two members, which could not tolerate the loss of one of them.
 func TestUnresponsiveMemberIsNotDroppedEarly(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c")
 	cluster.drop = func(from, _ MemberID, m *Message) bool {
@@ -267,8 +268,9 @@
 	cluster.mustWrite("a", 0, 1, "one")
 }
 
-// TestConsentThatIsNotDurableDoesNotCount: the bootstrapper's disk fails to persist its own consent.
-func TestConsentThatIsNotDurableDoesNotCount(t *testing.T) {
+// TestAcceptanceThatIsNotDurableDoesNotCount: the bootstrapper's disk fails to persist that it has accepted
+// its own attempt.
+func TestAcceptanceThatIsNotDurableDoesNotCount(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c")
 	cluster.machines["a"].failing = true
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
--- a/internal/router/chain/chain_test.go
+++ b/internal/router/chain/chain_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestBootstrappedChainTakesWritesAndReadsAtEachNode(t *testing.T) {
+func TestBootstrappedChainServesReadsAndWritesAtEachNode(t *testing.T) {
 	cluster := newCluster(t, 4, 3)
 	cluster.mustChain("d", "a", "b", "c")
 	cluster.mustWrite("a", 0, 1, "one")
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestWriteTakesThreeSyncsAndThreeDelaysAtTheHead(t *testing.T) {
+func TestWriteAtTheHeadTakesThreeSyncsAndThreeNetworkDelays(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.run(2 * time.Second)
 	before, began := 0, cluster.now
@@ -39,7 +39,7 @@
 	cluster.c.Assert(after-before, qt.Equals, 3)
 }
 
-func TestWriteTakesFourDelaysAtEachNode(t *testing.T) {
+func TestWriteAtAnyNodeTakesAtMostFourNetworkDelays(t *testing.T) {
 	cluster := newCluster(t, 4, 3)
 	cluster.run(2 * time.Second)
 	for i, at := range cluster.order {
@@ -94,13 +94,13 @@
 		body              string
 		want              Outcome
 	}{
-		{"the same change again", 0, 3, "three", Applied},
-		{"another body of the same change", 0, 3, "other", Conflict},
-		{"an expected version that has passed", 1, 2, "two", Conflict},
-		{"an expected version to come", 4, 5, "five", Conflict},
-		{"the expected version itself", 3, 3, "same version", Invalid},
-		{"a version below the expected one", 3, 2, "lower version", Invalid},
-		{"the next change", 3, 4, "four", Applied},
+		{"same change again", 0, 3, "three", Applied},
+		{"another body with the same versions", 0, 3, "other", Conflict},
+		{"expected version below the current one", 1, 2, "two", Conflict},
+		{"expected version above the current one", 4, 5, "five", Conflict},
+		{"version equal to the expected one", 3, 3, "same version", Invalid},
+		{"version below the expected one", 3, 2, "lower version", Invalid},
+		{"next change", 3, 4, "four", Applied},
 	} {
 		request := cluster.propose("b", test.expected, test.version, test.body)
 		cluster.run(50 * time.Millisecond)
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestSameChangeAttachesToThePendingOne(t *testing.T) {
+func TestRepeatedWriteWaitsForThePendingOne(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.drop = dropKind(Append, "c")
 	first := cluster.propose("a", 0, 1, "one")
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestReadsOfOneMomentShareAMarker(t *testing.T) {
+func TestConcurrentReadsShareAMarker(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	before := cluster.sent[Marker]
 	var requests []uint64
@@ -178,14 +178,14 @@
 	cluster.mustWrite("a", 1, 2, "two")
 }
 
-func TestOldHeadIsFencedAndRejectsNothing(t *testing.T) {
+func TestReplacedHeadIsFencedAndRejectsNothing(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.drop = partition([]MemberID{"a"}, []MemberID{"b", "c"})
 	cluster.run(2 * time.Second)
 	cluster.mustWrite("b", 1, 2, "two")
 	cluster.c.Assert(cluster.view("a").Epoch < cluster.view("b").Epoch, qt.IsTrue)
-	rejected := cluster.propose("a", 2, 3, "three") // a still has version 1 as the committed one
+	rejected := cluster.propose("a", 2, 3, "three") // to a, version 1 is still the committed one
 	stale := cluster.read("a")
 	lost := cluster.propose("a", 1, 2, "lost")
 	cluster.run(1500 * time.Millisecond)
@@ -201,7 +201,7 @@
 	cluster.mustChain("a", "b", "c", "a")
 }
 
-func TestUncommittedEntryOfAnOldHeadIsDropped(t *testing.T) {
+func TestUncommittedEntryOfAReplacedHeadIsDropped(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.drop = partition([]MemberID{"a"}, []MemberID{"b", "c"})
@@ -226,7 +226,7 @@
 	cluster.run(2 * time.Second)
 	cluster.mustChain("b", "b", "c")
 	cluster.mustRead("c", 2, "two")
-	cluster.mustWrite("c", 1, 2, "two") // a retry
+	cluster.mustWrite("c", 1, 2, "two") // retry of the same write
 }
 
 func TestRestartOfTheHeadOpensTheEpochAgain(t *testing.T) {
@@ -258,9 +258,10 @@
 	cluster.mustWrite("b", 1, 2, "two")
 }
 
-// TestRestartKnowsTheEntryBefore stops all machines right after a write. Only the tail has persisted that it
-// is committed; until the chain is open again the others know that only of the entry before it.
-func TestRestartKnowsTheEntryBefore(t *testing.T) {
+// TestRestartedNodeKnowsThatThePredecessorIsCommitted restarts all machines right after a write. Only the
+// tail has persisted that the write is committed. Until the epoch is open again, the others know only that
+// the entry before it is committed.
+func TestRestartedNodeKnowsThatThePredecessorIsCommitted(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.run(2 * time.Second)
@@ -268,7 +269,7 @@
 	cluster.inTransit = nil
 	for _, id := range cluster.order {
 		cluster.restart(id)
-		cluster.inTransit = nil // no message has arrived yet
+		cluster.inTransit = nil // no message of the restarted nodes arrives
 		entry, ok := cluster.machines[id].node.Committed()
 		cluster.c.Assert(ok, qt.IsTrue)
 		want := "one"
@@ -285,7 +286,7 @@
 	}
 }
 
-func TestOpeningSendsNoBodyThatTheReplicaHas(t *testing.T) {
+func TestOpeningAnEpochSendsNoBodyThatReplicasHave(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	bodies := 0
--- a/internal/router/chain/cluster_test.go
+++ b/internal/router/chain/cluster_test.go
@@ -15,7 +15,7 @@
 	testTick  = 10 * time.Millisecond
 )
 
-// machine is one node of a test cluster, with its records in memory.
+// machine is one machine of a test cluster: a node with its records in memory.
 type machine struct {
 	node    *Node
 	config  Config
@@ -25,35 +25,36 @@
 	failing bool
 	// syncs counts the steps whose records were persisted.
 	syncs int
-	// replies are those to the node's requests, by number.
+	// replies are the replies to the node's requests, by request number.
 	replies map[uint64]Reply
 }
 
-// transit is a message on its way, which arrives at a virtual time.
+// transit is a message in transit.
 type transit struct {
-	at      time.Duration
+	at      time.Duration // arrival in virtual time
 	to      MemberID
 	message Message
 }
 
-// testCluster is a set of machines with a network that loses nothing unless a test says so.
+// testCluster is a set of machines, connected by a network that loses messages only if a test sets drop.
 type testCluster struct {
 	c        *qt.C
-	now      time.Duration // virtual
+	now      time.Duration // virtual time
 	machines map[MemberID]*machine
-	// order are the machines in the order in which they were started.
+	// order lists the machines in the order in which they were started.
 	order []MemberID
-	// inTransit are the messages on their way, by their times of arrival.
+	// inTransit are the messages in transit, in the order of their arrival.
 	inTransit []transit
-	// drop reports whether a message is lost.
+	// drop reports whether a message is lost; if nil, none is.
 	drop func(from, to MemberID, m *Message) bool
-	// sent counts messages by kind.
+	// sent counts the sent messages by kind.
 	sent map[Kind]int
-	// request is the number of the last request.
-	request uint64
+	// lastRequest is the number of the latest request.
+	lastRequest uint64
 }
 
-// newCluster starts machines a, b, c and so on and bootstraps the chain with the first of them as members.
+// newCluster starts machines a, b, c and so on, and bootstraps a chain with the given number of them as
+// members.
 func newCluster(t *testing.T, machines, members int) *testCluster {
 	t.Helper()
 	cluster := &testCluster{c: qt.New(t), machines: map[MemberID]*machine{}, sent: map[Kind]int{}}
@@ -70,17 +71,17 @@
 		return cluster
 	}
 	if members < 3 {
-		cluster.run(3 * time.Second) // the bootstrapper waits for more
+		cluster.run(3 * time.Second) // the bootstrapping node waits for more members
 	}
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, list[:members]) })
 	cluster.run(600 * time.Millisecond)
 	return cluster
 }
 
-// start adds a machine with an empty disk; first is its AllowBootstrap, members the target.
-func (tc *testCluster) start(id MemberID, address string, first bool, members int) {
+// start adds a machine with an empty disk and starts its node.
+func (tc *testCluster) start(id MemberID, address string, allowBootstrap bool, targetMembers int) {
 	config := Config{
-		Self: Member{id, address}, HasDisk: true, AllowBootstrap: first, TargetMembers: members,
+		Self: Member{id, address}, HasDisk: true, AllowBootstrap: allowBootstrap, TargetMembers: targetMembers,
 		RequiredReplicas: 2, Random: rand.New(rand.NewSource(int64(len(tc.order)))),
 	}
 	tc.machines[id] = &machine{config: config, replies: map[uint64]Reply{}}
@@ -88,7 +89,7 @@
 	tc.boot(id)
 }
 
-// boot starts a machine's node from its records.
+// boot starts a machine's node with the state in its records.
 func (tc *testCluster) boot(id MemberID) {
 	machine := tc.machines[id]
 	node, effects, err := Open(machine.config, tc.now, machine.records)
@@ -97,19 +98,19 @@
 	tc.perform(id, effects)
 }
 
-// restart replaces a machine's node by one restored from its records.
+// restart replaces a machine's node with one restored from its records, which keeps the contacts.
 func (tc *testCluster) restart(id MemberID) {
 	contacts := tc.machines[id].node.contacts
 	tc.boot(id)
 	tc.machines[id].node.SetContacts(contacts)
 }
 
-// do runs one step of a node.
+// do runs one step of a node and carries out its effects.
 func (tc *testCluster) do(id MemberID, step func(*Node) Effects) {
 	tc.perform(id, step(tc.machines[id].node))
 }
 
-// perform carries effects out.
+// perform carries out the effects of a node's step.
 func (tc *testCluster) perform(id MemberID, effects Effects) {
 	machine := tc.machines[id]
 	if len(effects.Persist) > 0 {
@@ -129,12 +130,12 @@
 	}
 	for _, reply := range effects.Replies {
 		_, twice := machine.replies[reply.Request]
-		tc.c.Assert(twice, qt.IsFalse, qt.Commentf("request %d is answered twice", reply.Request))
+		tc.c.Assert(twice, qt.IsFalse, qt.Commentf("request %d was answered twice", reply.Request))
 		machine.replies[reply.Request] = reply
 	}
 }
 
-// run advances the virtual time.
+// run advances the virtual time, delivers messages and calls Tick every testTick.
 func (tc *testCluster) run(duration time.Duration) {
 	for end := tc.now + duration; tc.now < end; {
 		tc.now += testDelay
@@ -158,8 +159,8 @@
 
 // propose starts a write at a node and returns the request's number.
 func (tc *testCluster) propose(at MemberID, expected, version int64, body string) uint64 {
-	tc.request++
-	request := tc.request
+	tc.lastRequest++
+	request := tc.lastRequest
 	tc.do(at, func(n *Node) Effects {
 		return n.Propose(tc.now, request, Proposal{expected, version, []byte(body)})
 	})
@@ -168,17 +169,17 @@
 
 // confirm asks a node whether a change was committed and returns the request's number.
 func (tc *testCluster) confirm(at MemberID, expected, version int64, body string) uint64 {
-	tc.request++
-	request := tc.request
-	name := ChangeID{expected, version, digestOfBody([]byte(body))}
-	tc.do(at, func(n *Node) Effects { return n.Confirm(tc.now, request, name) })
+	tc.lastRequest++
+	request := tc.lastRequest
+	change := ChangeID{expected, version, digestOfBody([]byte(body))}
+	tc.do(at, func(n *Node) Effects { return n.Confirm(tc.now, request, change) })
 	return request
 }
 
 // read starts a read at a node and returns the request's number.
 func (tc *testCluster) read(at MemberID) uint64 {
-	tc.request++
-	request := tc.request
+	tc.lastRequest++
+	request := tc.lastRequest
 	tc.do(at, func(n *Node) Effects { return n.Read(tc.now, request) })
 	return request
 }
@@ -188,7 +189,7 @@
 	return tc.machines[at].replies[request].Outcome
 }
 
-// mustWrite writes and checks that it is applied.
+// mustWrite makes a write at a node and checks that it is applied.
 func (tc *testCluster) mustWrite(at MemberID, expected, version int64, body string) {
 	tc.c.Helper()
 	request := tc.propose(at, expected, version, body)
@@ -196,7 +197,7 @@
 	tc.c.Assert(tc.outcome(at, request), qt.Equals, Applied)
 }
 
-// mustRead reads and checks what is answered.
+// mustRead reads at a node and checks the version and body of the reply.
 func (tc *testCluster) mustRead(at MemberID, version int64, body string) {
 	tc.c.Helper()
 	request := tc.read(at)
@@ -210,13 +211,13 @@
 // view returns the view that a node knows.
 func (tc *testCluster) view(at MemberID) View { return tc.machines[at].node.View() }
 
-// mustChain checks a node's chain.
+// mustChain checks the chain of the view that a node knows.
 func (tc *testCluster) mustChain(at MemberID, chain ...MemberID) {
 	tc.c.Helper()
 	tc.c.Assert(tc.view(at).Chain, qt.DeepEquals, chain)
 }
 
-// partition drops all messages between two groups.
+// partition returns a drop function that loses all messages between two groups of nodes.
 func partition(left, right []MemberID) func(from, to MemberID, m *Message) bool {
 	return func(from, to MemberID, _ *Message) bool {
 		return slices.Contains(left, from) && slices.Contains(right, to) ||
@@ -224,7 +225,7 @@
 	}
 }
 
-// dropKind drops all messages of one kind to one receiver.
+// dropKind returns a drop function that loses all messages of one kind to one receiver.
 func dropKind(kind Kind, receiver MemberID) func(from, to MemberID, m *Message) bool {
 	return func(_, to MemberID, m *Message) bool { return m.Kind == kind && to == receiver }
 }
--- a/internal/router/chain/example_test.go
+++ b/internal/router/chain/example_test.go
@@ -8,12 +8,12 @@
 	"cresshub/internal/router/chain"
 )
 
-// A register of a single machine: it agrees with itself on the first view, and each write is committed in the
+// A register on a single machine: its node alone decides the first view, and each write is committed in the
 // step that proposes it.
 func Example() {
 	var log [][]byte
 	perform := func(effects chain.Effects) {
-		log = append(log, effects.Persist...) // a real log syncs here
+		log = append(log, effects.Persist...) // a real log would sync to disk here
 		for _, reply := range effects.Replies {
 			fmt.Printf("%d: %v, version %d %q\n", reply.Request, reply.Outcome, reply.Entry.Version, reply.Entry.Body)
 		}
--- a/internal/router/chain/fence_test.go
+++ b/internal/router/chain/fence_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// appendOf returns the message by which a predecessor replicates an entry.
-func appendOf(from MemberID, epoch uint64, entry Entry) Message {
+// appendWithBody returns the Append message, with a body, by which a predecessor replicates an entry.
+func appendWithBody(from MemberID, epoch uint64, entry Entry) Message {
 	digest := digestOfBody(entry.Body)
 	return Message{
 		Kind: Append, From: from, Epoch: epoch, Sequence: entry.Sequence, Version: entry.Version,
@@ -16,7 +16,7 @@
 	}
 }
 
-// kinds returns the kinds of the messages in effects.
+// kinds returns the kinds of the messages in effects, in their order.
 func kinds(effects Effects) []Kind {
 	var all []Kind
 	for _, envelope := range effects.Messages {
@@ -25,7 +25,7 @@
 	return all
 }
 
-func TestEntriesComeOnlyFromThePredecessorInTheSameEpoch(t *testing.T) {
+func TestReplicationMessagesAreValidOnlyFromNeighborsInTheSameEpoch(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	next := Entry{Sequence: 2, Version: 2, Body: []byte("two")}
@@ -35,28 +35,28 @@
 		message Message
 		want    []Kind
 	}{
-		{"entry from another than the predecessor", "c", appendOf("a", 1, next), nil},
-		{"entry from the successor", "b", appendOf("c", 1, next), nil},
-		{"entry of an earlier epoch", "b", appendOf("a", 0, next), []Kind{ViewNotice}},
-		{"entry of a later epoch", "b", appendOf("a", 2, next), []Kind{Heartbeat}},
-		{"older entry", "b", appendOf("a", 1, Entry{Sequence: 0}), nil},
+		{"entry from a replica that is not the predecessor", "c", appendWithBody("a", 1, next), nil},
+		{"entry from the successor", "b", appendWithBody("c", 1, next), nil},
+		{"entry of an earlier epoch", "b", appendWithBody("a", 0, next), []Kind{ViewNotice}},
+		{"entry of a later epoch", "b", appendWithBody("a", 2, next), []Kind{Heartbeat}},
+		{"entry of a lower sequence", "b", appendWithBody("a", 1, Entry{Sequence: 0}), nil},
 		{"another entry of the same sequence", "b",
-			appendOf("a", 1, Entry{Sequence: 1, Version: 1, Body: []byte("other")}), nil},
-		{"the same entry again", "b",
-			appendOf("a", 1, Entry{Sequence: 1, Version: 1, Body: []byte("one")}), []Kind{Append}},
-		{"acknowledgement by another than the tail", "a",
+			appendWithBody("a", 1, Entry{Sequence: 1, Version: 1, Body: []byte("other")}), nil},
+		{"same entry again", "b",
+			appendWithBody("a", 1, Entry{Sequence: 1, Version: 1, Body: []byte("one")}), []Kind{Append}},
+		{"acknowledgement from a replica that is not the tail", "a",
 			Message{Kind: Ack, From: "b", Epoch: 1, Sequence: 2}, nil},
 		{"acknowledgement of an earlier epoch", "a",
 			Message{Kind: Ack, From: "c", Epoch: 0, Sequence: 1}, []Kind{ViewNotice}},
-		{"marker from another than the predecessor", "c",
+		{"marker from a replica that is not the predecessor", "c",
 			Message{Kind: Marker, From: "a", Epoch: 1, Marker: 7}, nil},
 		{"marker of an earlier epoch", "c",
 			Message{Kind: Marker, From: "b", Epoch: 0, Marker: 7}, []Kind{ViewNotice}},
 		{"marker from the predecessor", "c",
 			Message{Kind: Marker, From: "b", Epoch: 1, Marker: 7}, []Kind{MarkerReply}},
-		{"request for a body by another than the successor", "a",
+		{"request for a body from a replica that is not the successor", "a",
 			Message{Kind: FetchBody, From: "c", Epoch: 1, Sequence: 1}, nil},
-		{"request for a body by the successor", "a",
+		{"request for a body from the successor", "a",
 			Message{Kind: FetchBody, From: "b", Epoch: 1, Sequence: 1}, []Kind{Append}},
 	} {
 		effects := cluster.machines[test.to].node.Receive(cluster.now, test.message)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestSealedReplicaOpensNothingAlsoAfterARestart(t *testing.T) {
+func TestSealedReplicaAcceptsNoEntryEvenAfterARestart(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	view := View{Epoch: 2, Members: cluster.view("a").Members, Chain: []MemberID{"a", "b"}}
@@ -79,14 +79,14 @@
 	})
 	cluster.restart("b")
 	cluster.inTransit = nil
-	opening := appendOf("a", 2, Entry{Sequence: 1, Version: 1, Body: []byte("one")})
+	opening := appendWithBody("a", 2, Entry{Sequence: 1, Version: 1, Body: []byte("one")})
 	effects := cluster.machines["b"].node.Receive(cluster.now, opening)
 	cluster.c.Assert(kinds(effects), qt.HasLen, 0)
 	cluster.c.Assert(effects.Persist, qt.HasLen, 0)
 	cluster.c.Assert(cluster.machines["b"].node.heartbeat().Sealed, qt.IsTrue)
 }
 
-func TestOpenReplicaSealsNothing(t *testing.T) {
+func TestOpenReplicaIgnoresSeal(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	effects := cluster.machines["b"].node.Receive(cluster.now, Message{Kind: Seal, From: "c", Epoch: 1})
 	cluster.c.Assert(effects.Persist, qt.HasLen, 0)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestMarkerOfAnEarlierIncarnationAnswersNothing(t *testing.T) {
+func TestMarkerReplyToAnEarlierIncarnationIsIgnored(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.read("a")
@@ -123,7 +123,7 @@
 	cluster.c.Assert(cluster.outcome("a", read), qt.Equals, Outcome(0))
 }
 
-func TestAnswersAreNeverBeforeTheirRecords(t *testing.T) {
+func TestNoReplyBeforeItsRecordsAreDurable(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.machines["c"].failing = true
@@ -136,7 +136,7 @@
 	cluster.c.Assert(cluster.machines["c"].node.heartbeat().Stalled, qt.IsTrue)
 }
 
-func TestSnapshotStandsForAllRecords(t *testing.T) {
+func TestSnapshotReplacesAllRecords(t *testing.T) {
 	cluster := newCluster(t, 4, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.machines["c"].down = true
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestRecordsThatCannotBeReadAreRejected(t *testing.T) {
+func TestUnreadableRecordsAreRejected(t *testing.T) {
 	c := qt.New(t)
 	for _, record := range [][]byte{{}, {99}, {recordIdentity, 5, 'a'}, {recordView, 1}, {recordPosition}} {
 		_, _, err := Open(Config{}, 0, [][]byte{record})
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestRecordsEndInNoZeros: the log could take zeros for a sector that was never written.
-func TestRecordsEndInNoZeros(t *testing.T) {
+// TestRecordsDoNotEndInZeros: the log could mistake trailing zeros for a sector that was never written.
+func TestRecordsDoNotEndInZeros(t *testing.T) {
 	cluster := newCluster(t, 4, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.machines["c"].down = true
--- a/internal/router/chain/golden_test.go
+++ b/internal/router/chain/golden_test.go
@@ -10,16 +10,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// The documents of the golden entries: one that was sent whole, and one that a patch made, as package node
-// stores it.
+// The bodies of the golden entries: a full configuration, and the result of a patch, which package
+// fleetconfig stores together with the patch.
 const (
 	goldenDocument  = `{"edition":40,"routes":[],"depots_list":[{"name":"s"}]}`
 	goldenPatch     = `{"edition":41}`
 	goldenSuccessor = "\x01\x50\x0e" + goldenPatch + `{"edition":41,"routes":[],"depots_list":[{"name":"s"}]}`
 )
 
+// goldenView is a view with all fields set.
 func goldenView(epoch uint64) View {
 	return View{Epoch: epoch, Members: []Member{{"m0", "127.0.0.1"}, {"m1", "10.0.0.2"}, {"m2", "10.0.0.3"}},
 		Chain: []MemberID{"m1", "m0"}, CatchingUp: []MemberID{"m0"}, Sources: []MemberID{"m1", "m2"},
@@ -27,7 +28,7 @@
 			{Epoch: epoch - 1, Chain: []MemberID{"m2"}}}}
 }
 
-// goldenDigest is a digest whose bytes count up.
+// goldenDigest is a digest whose bytes count up from first.
 func goldenDigest(first byte) (digest Digest) {
 	for i := range digest {
 		digest[i] = first + byte(i)
@@ -35,12 +36,12 @@
 	return digest
 }
 
-// goldenHistory are the entries before that of goldenState.
+// goldenHistory is the history of the accepted entry of goldenState.
 func goldenHistory() []PastEntry {
 	return []PastEntry{{Version: -3, Digest: goldenDigest(1)}, {Version: 1 << 33, Digest: goldenDigest(100)}}
 }
 
-// goldenState is what a disk may hold, with all values set.
+// goldenState is a durable state with all values set except predecessor.
 func goldenState() *durableState {
 	config := Config{}.withDefaults()
 	return &durableState{
@@ -56,7 +57,7 @@
 	}
 }
 
-// goldenSuccessorState is goldenState with the write behind it, which the successor's record makes of it.
+// goldenSuccessorState is goldenState after the next write, which is persisted as a recordSuccessor.
 func goldenSuccessorState() *durableState {
 	state, config := goldenState(), Config{}.withDefaults()
 	state.predecessor = state.accepted
@@ -66,7 +67,8 @@
 	return state
 }
 
-// goldenRecords are the files of all kinds of records, in the order in which they are read.
+// goldenRecords lists the golden file of each kind of record and the state that it is encoded from, in the
+// order in which the records are applied.
 func goldenRecords() []struct {
 	kind  int
 	file  string
@@ -92,7 +94,7 @@
 	return golden
 }
 
-// TestGoldenRecordsAreWrittenByteForByte writes a record of each kind.
+// TestGoldenRecordsAreWrittenByteForByte encodes a record of each kind and compares it with its golden file.
 func TestGoldenRecordsAreWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
 	covered := map[int]bool{}
@@ -111,8 +113,8 @@
 	}
 }
 
-// TestGoldenRecordsAreRead reads the records one after the other: all values of the state come back, and the
-// successor's record makes the entry before it the predecessor.
+// TestGoldenRecordsAreRead applies the golden records one after the other. They restore all values of the
+// state, and the recordSuccessor makes the entry before it the predecessor.
 func TestGoldenRecordsAreRead(t *testing.T) {
 	c := qt.New(t)
 	config := Config{}.withDefaults()
@@ -153,13 +155,13 @@
 	c.Assert(read.acceptor.promised, qt.Equals, wanted.acceptor.promised)
 	c.Assert(read.acceptor.accepted, qt.Equals, wanted.acceptor.accepted)
 	c.Assert(read.acceptor.acceptedView, qt.DeepEquals, wanted.acceptor.acceptedView)
-	checkHeld(c, &read.accepted, &wanted.accepted)
-	checkHeld(c, &read.predecessor, &wanted.predecessor)
+	checkAcceptedEntry(c, &read.accepted, &wanted.accepted)
+	checkAcceptedEntry(c, &read.predecessor, &wanted.predecessor)
 	c.Assert(read.committedSequence, qt.Equals, wanted.committedSequence)
 	c.Assert(read.sealed, qt.Equals, wanted.sealed)
 }
 
-func checkHeld(c *qt.C, read, wanted *acceptedEntry) {
+func checkAcceptedEntry(c *qt.C, read, wanted *acceptedEntry) {
 	c.Helper()
 	c.Assert(read.Entry, qt.DeepEquals, wanted.Entry)
 	c.Assert(read.digest, qt.Equals, wanted.digest)
--- a/internal/router/chain/history_test.go
+++ b/internal/router/chain/history_test.go
@@ -17,7 +17,7 @@
 	tc.c.Assert(tc.outcome(at, request), qt.Equals, want, qt.Commentf("version %d, %q", version, body))
 }
 
-// writeVersions writes a range of versions.
+// writeVersions makes one write for each version of a range.
 func (tc *testCluster) writeVersions(first, last int64) {
 	tc.c.Helper()
 	for version := first; version <= last; version++ {
@@ -37,10 +37,9 @@
 	}
 }
 
-// TestChangesAreConfirmedByTheirIdentity asks for changes by their identity: those that were committed are
-// acknowledged, those that never were are rejected, and one that could still be proposed is neither. Nothing
-// is written.
-func TestChangesAreConfirmedByTheirIdentity(t *testing.T) {
+// TestOutcomesOfConfirm confirms changes by their IDs: those that were committed are acknowledged, those that
+// never were are rejected, and one that could still be proposed is neither. Nothing is written.
+func TestOutcomesOfConfirm(t *testing.T) {
 	cluster := newCluster(t, 4, 3)
 	cluster.writeVersions(1, 3)
 	for _, at := range cluster.order {
@@ -50,12 +49,12 @@
 			body              string
 			want              Outcome
 		}{
-			{"the current version", 2, 3, "body 3", Applied},
-			{"an earlier version", 0, 1, "body 1", Applied},
+			{"current version", 2, 3, "body 3", Applied},
+			{"earlier version", 0, 1, "body 1", Applied},
 			{"another body of an earlier version", 1, 2, "other body", Conflict},
 			{"another expected version", 0, 2, "body 1", Conflict},
-			{"a version that nothing leads to", 7, 8, "body 8", Conflict},
-			{"a change that may still be proposed", 3, 4, "body 4", Unavailable},
+			{"expected version above the current one", 7, 8, "body 8", Conflict},
+			{"change that may still be proposed", 3, 4, "body 4", Unavailable},
 		} {
 			request := cluster.confirm(at, test.expected, test.version, test.body)
 			cluster.run(100 * time.Millisecond)
@@ -66,7 +65,7 @@
 	cluster.mustPropose("b", 3, 4, "body 4", Applied)
 }
 
-// TestConfirmWaitsForThePendingWrite asks for the pending change and for another one that builds on it.
+// TestConfirmWaitsForThePendingWrite confirms the pending change and another one that follows it.
 func TestConfirmWaitsForThePendingWrite(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.writeVersions(1, 1)
@@ -78,8 +77,9 @@
 	cluster.mustRead("c", 2, "body 2")
 }
 
-// TestDigestsNameChanges identifies changes by the part of the body before a stroke, also after a restart.
-func TestDigestsNameChanges(t *testing.T) {
+// TestChangesAreIdentifiedByTheConfiguredDigest sets a DigestOf that covers only the part of the body before
+// a vertical bar, and confirms changes by it after a restart of the tail.
+func TestChangesAreIdentifiedByTheConfiguredDigest(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	for _, id := range cluster.order {
 		cluster.machines[id].config.DigestOf = func(body []byte) Digest {
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestForgottenWriteIsNotRejected: what may have been committed before the oldest entry of the history is
-// left open; what the history rules out is rejected.
-func TestForgottenWriteIsNotRejected(t *testing.T) {
+// TestWriteOlderThanTheHistoryIsNotRejected: a write that may have been committed before the oldest entry of
+// the history is answered Unavailable; a write that the history rules out is answered Conflict.
+func TestWriteOlderThanTheHistoryIsNotRejected(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	for _, id := range cluster.order {
 		cluster.machines[id].config.HistoryLength = 4
@@ -117,15 +117,15 @@
 	cluster.c.Assert(cluster.machines["c"].node.state.accepted.history, qt.HasLen, 4) // 6, 8, 10 and 12
 	cluster.mustPropose("b", 4, 6, "body 6", Applied)
 	cluster.mustPropose("b", 2, 4, "body 4", Unavailable)
-	cluster.mustPropose("b", 4, 5, "never in force, or forgotten", Unavailable)
+	cluster.mustPropose("b", 4, 5, "never committed, but older than the history", Unavailable)
 	cluster.mustPropose("b", 4, 6, "another body", Conflict)
-	cluster.mustPropose("b", 6, 7, "between two that are named", Conflict)
-	cluster.mustPropose("b", 15, 16, "above the current one", Conflict)
+	cluster.mustPropose("b", 6, 7, "between two versions of the history", Conflict)
+	cluster.mustPropose("b", 15, 16, "expected version above the current one", Conflict)
 }
 
-// TestWriteCostsTheSameAfterHundredsOfChanges counts what a write adds to messages and records, and retries
-// earlier ones.
-func TestWriteCostsTheSameAfterHundredsOfChanges(t *testing.T) {
+// TestWriteCostDoesNotGrowWithTheHistory bounds the bytes that each of many writes adds to messages and to
+// records. It then repeats earlier writes, which the head has to find in the history.
+func TestWriteCostDoesNotGrowWithTheHistory(t *testing.T) {
 	const changes = 600
 	cluster := newCluster(t, 3, 3)
 	sent, repeated := 0, 0
@@ -158,14 +158,14 @@
 	cluster.c.Assert(restored.state.accepted.history, qt.HasLen, changes-1)
 }
 
-// TestWriteAfterAMissedOneFetchesTheFullHistory: a replica that lacks the entry before a new one sends
-// FetchBody.
+// TestWriteAfterAMissedOneFetchesTheFullHistory: a replica that receives a new write but lacks the entry
+// before it sends FetchBody, as it can't derive the history.
 func TestWriteAfterAMissedOneFetchesTheFullHistory(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.writeVersions(1, 5)
 	tail := cluster.machines["c"].node
 	for _, behind := range []int{0, 2} {
-		message := appendOf("b", 1, Entry{Sequence: 9, Version: 9, Body: []byte("nine")})
+		message := appendWithBody("b", 1, Entry{Sequence: 9, Version: 9, Body: []byte("nine")})
 		message.Sequence += uint64(behind)
 		message.History = []PastEntry{{Version: 8}}
 		effects := tail.Receive(cluster.now, message)
@@ -174,8 +174,9 @@
 	}
 }
 
-// TestTwoWritesOfOneStepArePersistedTogether: a chain of one commits all queued writes in one step.
-func TestTwoWritesOfOneStepArePersistedTogether(t *testing.T) {
+// TestWritesOfOneStepArePersistedTogether accepts several entries in one step, as the only replica of a chain
+// does with queued writes. The step's records restore all of them.
+func TestWritesOfOneStepArePersistedTogether(t *testing.T) {
 	cluster := newCluster(t, 1, 1)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.do("a", func(n *Node) Effects {
@@ -236,7 +237,7 @@
 	cluster.mustPropose("a", 1, 2, "won", Applied)
 }
 
-// TestLogWithoutAHistoryIsRead reads the log of a release that persisted no history.
+// TestLogWithoutAHistoryIsRead opens nodes with the log of a release that persisted no history.
 func TestLogWithoutAHistoryIsRead(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.writeVersions(1, 2)
@@ -247,7 +248,7 @@
 			if record[0] == recordHistory {
 				continue
 			}
-			if record[0] == recordSuccessor { // that release wrote each entry in full
+			if record[0] == recordSuccessor { // that release persisted each entry as a recordEntry
 				record = append([]byte{recordEntry}, record[1:]...)
 			}
 			retained = append(retained, record)
@@ -256,7 +257,7 @@
 		cluster.restart(id)
 	}
 	cluster.run(500 * time.Millisecond)
-	cluster.mustPropose("b", 0, 1, "body 1", Unavailable) // it may have been committed
+	cluster.mustPropose("b", 0, 1, "body 1", Unavailable) // without a history it may have been committed
 	cluster.mustWrite("b", 2, 3, "body 3")
 	cluster.mustPropose("b", 1, 2, "body 2", Applied)
 }
--- a/internal/router/chain/main_test.go
+++ b/internal/router/chain/main_test.go
@@ -7,7 +7,7 @@
 	"cresshub/internal/invariant"
 )
 
-// TestMain makes a broken invariant fail the tests.
+// TestMain makes a violated invariant panic, which fails the tests.
 func TestMain(m *testing.M) {
 	invariant.PanicOnViolation()
 	os.Exit(m.Run())
--- a/internal/router/chain/plan_test.go
+++ b/internal/router/chain/plan_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// testPlannerConfig are the defaults of a fleet that tolerates the loss of one disk.
+// testPlannerConfig has the default timeouts, and tolerates the loss of one disk.
 var testPlannerConfig = PlannerConfig{
 	TargetMembers: 3, RequiredReplicas: 2,
 	SuspectAfter: 700 * time.Millisecond,
@@ -16,23 +16,23 @@
 	ReplaceAfter: 1200 * time.Millisecond,
 }
 
-// peerOption changes what is observed of one node.
+// peerOption modifies the observation of one node.
 type peerOption func(*PeerObservation)
 
 func timedOut(after time.Duration) peerOption {
 	return func(p *PeerObservation) { p.SinceLastSeen, p.StableFor = after, 0 }
 }
 
-func degraded(since time.Duration) peerOption {
-	return func(p *PeerObservation) { p.Degraded, p.DegradedFor = true, since }
+func degraded(duration time.Duration) peerOption {
+	return func(p *PeerObservation) { p.Degraded, p.DegradedFor = true, duration }
 }
 
-func draining(since time.Duration) peerOption {
-	return func(p *PeerObservation) { p.Degraded, p.Draining, p.DegradedFor = true, true, since }
+func draining(duration time.Duration) peerOption {
+	return func(p *PeerObservation) { p.Degraded, p.Draining, p.DegradedFor = true, true, duration }
 }
 
-func stableFor(since time.Duration) peerOption {
-	return func(p *PeerObservation) { p.StableFor = since }
+func stableFor(duration time.Duration) peerOption {
+	return func(p *PeerObservation) { p.StableFor = duration }
 }
 
 func entryOf(epoch uint64) peerOption { return func(p *PeerObservation) { p.EntryEpoch = epoch } }
@@ -45,16 +45,17 @@
 
 func at(address string) peerOption { return func(p *PeerObservation) { p.Member.Address = address } }
 
-// notReported is a node that has sent no heartbeat in this epoch.
+// notReported makes a node one that has sent no heartbeat in this epoch.
 func notReported(p *PeerObservation) { p.ReportedInEpoch = false }
 
-// staleEpochFor is a node that is seen but that nothing reaches.
-func staleEpochFor(since time.Duration) peerOption {
-	return func(p *PeerObservation) { p.ReportedInEpoch, p.StaleEpochFor = false, since }
+// staleEpochFor makes a node one that is seen but that no message reaches, so that it still reports an
+// earlier epoch.
+func staleEpochFor(duration time.Duration) peerOption {
+	return func(p *PeerObservation) { p.ReportedInEpoch, p.StaleEpochFor = false, duration }
 }
 
-// observation returns what node a observes: each listed node is alive and healthy but for its options, and
-// receives from all that have not timed out.
+// observation returns what node a observes. Unless its options say otherwise, each listed node is alive and
+// healthy, and receives from all nodes that have not timed out.
 func observation(nodes map[MemberID][]peerOption) Observation {
 	observed := Observation{Self: "a", Peers: map[MemberID]PeerObservation{}}
 	for id, options := range nodes {
@@ -81,7 +82,7 @@
 	return observed
 }
 
-// testView is epoch 5 of members a, b and c.
+// testView is a view of epoch 5 with members a, b and c, all of them sources.
 func testView(chain ...MemberID) View {
 	members := []Member{{"a", "host-a"}, {"b", "host-b"}, {"c", "host-c"}}
 	return View{Epoch: 5, Members: members, Chain: chain, Sources: []MemberID{"a", "b", "c"}}
@@ -89,7 +90,7 @@
 
 func TestPlan(t *testing.T) {
 	c := qt.New(t)
-	fresh := func(view View, ids ...MemberID) View { view.CatchingUp = ids; return view }
+	catchingUp := func(view View, ids ...MemberID) View { view.CatchingUp = ids; return view }
 	nodes := func(options ...any) map[MemberID][]peerOption {
 		all := map[MemberID][]peerOption{"a": nil, "b": nil, "c": nil}
 		for i := 0; i < len(options); i += 2 {
@@ -103,28 +104,28 @@
 		name     string
 		view     View
 		observed map[MemberID][]peerOption
-		want     string // members, chain, fresh; empty for no new view
+		want     string // members, chain, catching up; empty for no new view
 	}{
 		{"all healthy", testView("a", "b", "c"), nodes(), ""},
 		{"tail timed out", testView("a", "b", "c"), nodes(third, timedOut(time.Second)), "[a b c] [a b] []"},
 		{"head timed out", testView("a", "b", "c"), nodes(b, timedOut(time.Second)), "[a b c] [a c] []"},
 		{"two timed out", testView("a", "b", "c"),
 			nodes(b, timedOut(time.Second), third, timedOut(time.Second)), ""},
-		{"back, not stable", testView("a", "b"), nodes(third, stableFor(200*time.Millisecond)), ""},
-		{"back and stable", testView("a", "b"), nodes(third, entryOf(3)), "[a b c] [a b c] [c]"},
+		{"member recovered, not stable yet", testView("a", "b"), nodes(third, stableFor(200*time.Millisecond)), ""},
+		{"member recovered and stable", testView("a", "b"), nodes(third, entryOf(3)), "[a b c] [a b c] [c]"},
 		{"failing disk", testView("a", "b", "c"), nodes(a, degraded(0)), "[a b c] [b c] []"},
 		{"failing disk but needed", testView("a", "b"),
 			nodes(b, degraded(0), third, timedOut(time.Second)), ""},
 		{"draining", testView("a", "b", "c"), nodes(a, draining(0)), "[a b c] [b c] []"},
 		{"draining but needed", testView("a", "b"),
 			nodes(b, draining(0), third, timedOut(time.Second)), ""},
-		{"draining, and the one that is back has no state yet", testView("a", "b"),
+		{"draining, and the recovered member has no state yet", testView("a", "b"),
 			nodes(b, draining(0), third, entryOf(3)), "[a b c] [a b c] [c]"},
-		{"draining, and the one that is back has the state", fresh(testView("a", "b", "c"), "c"),
+		{"draining, and the recovered member has the state", catchingUp(testView("a", "b", "c"), "c"),
 			nodes(b, draining(0)), "[a b c] [a c] []"},
 		{"draining with a candidate", testView("a", "b", "c"),
 			nodes(d, entryOf(0), b, draining(0)), "[a d c] [a c d] [d]"},
-		{"draining with a candidate that was not seen since", testView("a", "b", "c"),
+		{"draining with a candidate that was not seen since then", testView("a", "b", "c"),
 			nodes(d, entryOf(0), d, timedOut(300*time.Millisecond), d, stableFor(time.Hour),
 				b, draining(200*time.Millisecond)), "[a b c] [a c] []"},
 		{"candidate that was not seen since a member is unavailable", testView("a", "b"),
@@ -134,11 +135,11 @@
 			nodes(d, entryOf(0), b, draining(0), third, timedOut(time.Second)), ""},
 		{"draining, its replica is needed, and another is unavailable", testView("a", "b"),
 			nodes(d, entryOf(0), b, draining(0), third, timedOut(2*time.Second)), "[a b d] [a b d] [d]"},
-		{"fresh one doesn't become head", fresh(testView("b", "a", "c"), "a", "c"),
+		{"replica that is catching up doesn't become head", catchingUp(testView("b", "a", "c"), "a", "c"),
 			nodes(a, entryOf(4), third, entryOf(4), b, timedOut(time.Second)), ""},
-		{"fresh one that is open may be head", fresh(testView("b", "a", "c"), "a", "c"),
+		{"replica that has caught up may become head", catchingUp(testView("b", "a", "c"), "a", "c"),
 			nodes(third, entryOf(4), b, timedOut(time.Second)), "[a b c] [a c] [c]"},
-		{"sealed epoch goes back to a source", fresh(testView("b", "a"), "a"),
+		{"source becomes head after a sealed epoch", catchingUp(testView("b", "a"), "a"),
 			nodes(a, entryOf(4), a, peerOption(sealed), third, entryOf(4), b, timedOut(time.Second)),
 			"[a b c] [a c] []"},
 		{"candidate waits while all are alive", testView("a", "b", "c"), nodes(d, stableFor(time.Hour)), ""},
@@ -156,13 +157,13 @@
 			nodes(d, entryOf(0), a, degraded(2*time.Second)), "[d b c] [b c d] [d]"},
 		{"candidate replaces no timed-out replica before a chain without it", testView("a", "b"),
 			nodes(d, entryOf(0), b, timedOut(2*time.Second), third, stableFor(200*time.Millisecond)), ""},
-		{"candidate waits for no replica whose disk fails", fresh(testView("a", "c"), "c"),
+		{"candidate waits for no replica whose disk fails", catchingUp(testView("a", "c"), "c"),
 			nodes(d, entryOf(0), b, timedOut(2*time.Second), third, entryOf(4), third, degraded(0)),
 			"[a d c] [a d] [d]"},
-		{"candidate of before its machine's disk was wiped", testView("a", "b"),
+		{"candidate whose disk was wiped since", testView("a", "b"),
 			nodes(d, entryOf(0), d, timedOut(time.Millisecond), d, stableFor(time.Hour), d, at("host-e"),
 				MemberID("e"), entryOf(0), third, timedOut(2*time.Second)), "[a b e] [a b e] [e]"},
-		{"candidate waits until the epoch is open", fresh(testView("a", "b"), "b"),
+		{"candidate waits until the epoch is open", catchingUp(testView("a", "b"), "b"),
 			nodes(d, entryOf(0), b, entryOf(4), third, timedOut(2*time.Second)), ""},
 		{"candidate replaces its own machine at once", testView("a", "b", "c"),
 			nodes(d, entryOf(0), d, at("host-c"), d, stableFor(0), third, timedOut(100*time.Millisecond)),
@@ -171,17 +172,17 @@
 			nodes(d, at("host-c"), d, stableFor(time.Second)), ""},
 		{"replicas that don't receive from each other", testView("a", "b", "c"),
 			nodes(b, receivesFrom("a"), third, receivesFrom("a")), "[a b c] [a b] []"},
-		{"back, and nothing reaches it", testView("a", "b"),
+		{"recovered member that no message reaches", testView("a", "b"),
 			nodes(third, entryOf(3), third, staleEpochFor(time.Second)), ""},
-		{"replica that nothing reaches", testView("a", "b", "c"),
+		{"replica that no message reaches", testView("a", "b", "c"),
 			nodes(b, staleEpochFor(time.Second)), "[a b c] [a c] []"},
 		{"replica that has not reported yet", testView("a", "b", "c"),
 			nodes(b, staleEpochFor(100*time.Millisecond)), ""},
-		{"candidate that nothing reaches", testView("a", "b"),
+		{"candidate that no message reaches", testView("a", "b"),
 			nodes(d, entryOf(0), d, staleEpochFor(time.Second), third, timedOut(2*time.Second)), ""},
-		{"candidate replaces a member that nothing reaches", testView("a", "b"),
+		{"candidate replaces a member that no message reaches", testView("a", "b"),
 			nodes(d, entryOf(0), third, staleEpochFor(2*time.Second)), "[a b d] [a b d] [d]"},
-		{"timed out here, seen by another", testView("a", "c"),
+		{"timed out at this node, seen by another", testView("a", "c"),
 			nodes(b, timedOut(time.Second), third, receivesFrom("a", "b")), ""},
 	} {
 		c.Run(test.name, func(c *qt.C) {
@@ -206,7 +207,7 @@
 	c.Assert(memberIDs(next.Members), qt.DeepEquals, []MemberID{"a", "b", "c", "d"})
 }
 
-func TestUnopenedEpochsAreRemembered(t *testing.T) {
+func TestUnopenedEpochsAreListedInTheNextView(t *testing.T) {
 	c := qt.New(t)
 	view := testView("a", "b", "c")
 	closed := observation(map[MemberID][]peerOption{
@@ -239,7 +240,8 @@
 }
 
 // TestSourceSurvivesManyUnopenedEpochs lets b and c join the chain by turns, in epochs none of which opens.
-// When a is unavailable b still counts as a source, as each of the epochs has a replica that missed it.
+// When a becomes unavailable, b still counts as a source, as in each of these epochs some replica accepted no
+// entry.
 func TestSourceSurvivesManyUnopenedEpochs(t *testing.T) {
 	c := qt.New(t)
 	view := testView("a", "b")
@@ -249,8 +251,8 @@
 	}
 	for round := range 3 * maxUnopened {
 		nodes := map[MemberID][]peerOption{"a": reported(view.Epoch), "b": reported(5), "c": reported(3)}
-		away := []MemberID{"b", "c"}[round%2]
-		nodes[away] = append(nodes[away], timedOut(time.Second))
+		unavailable := []MemberID{"b", "c"}[round%2]
+		nodes[unavailable] = append(nodes[unavailable], timedOut(time.Second))
 		next, ok := Plan(view, observation(nodes), testPlannerConfig)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(next.Chain[0], qt.Equals, MemberID("a"))
@@ -258,20 +260,20 @@
 		c.Assert(next.Sources, qt.Contains, MemberID("b"))
 		view = next
 	}
-	left := observation(map[MemberID][]peerOption{
+	withoutA := observation(map[MemberID][]peerOption{
 		"a": {timedOut(time.Second)},
 		"b": {entryOf(5), sealed, receivesFrom("b", "c")},
 		"c": {entryOf(3), sealed, receivesFrom("b", "c")},
 	})
-	left.Self = "b"
-	next, ok := Plan(view, left, testPlannerConfig)
+	withoutA.Self = "b"
+	next, ok := Plan(view, withoutA, testPlannerConfig)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(next.Chain[0], qt.Equals, MemberID("b"))
 }
 
-// TestOldestUnopenedEpochIsForgottenWithWhoMayLackIt: no node is left that could prove that nothing was
-// committed.
-func TestOldestUnopenedEpochIsForgottenWithWhoMayLackIt(t *testing.T) {
+// TestOldestUnopenedEpochIsDroppedWithSourcesThatMayLackIt: none of the unopened epochs has a live replica
+// that could prove that nothing was committed in it.
+func TestOldestUnopenedEpochIsDroppedWithSourcesThatMayLackIt(t *testing.T) {
 	c := qt.New(t)
 	view := testView("a", "x")
 	view.Epoch, view.Sources = 100, []MemberID{"a", "b", "c"}
@@ -294,8 +296,9 @@
 	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "c"}) // b may lack the entries of epoch 10
 }
 
-// TestEpochsWithoutCommitsAreForgottenFirst: all but one have a replica that missed them.
-func TestEpochsWithoutCommitsAreForgottenFirst(t *testing.T) {
+// TestEpochsWithoutCommitsAreDroppedFirst: all unopened epochs but the first have a replica that accepted no
+// entry in them.
+func TestEpochsWithoutCommitsAreDroppedFirst(t *testing.T) {
 	c := qt.New(t)
 	view := testView("a", "x")
 	view.Epoch, view.CatchingUp, view.Sources = 100, []MemberID{"x"}, []MemberID{"a", "b"}
@@ -309,7 +312,7 @@
 	}
 	next, _ := Plan(view, observation(nodes), testPlannerConfig)
 	c.Assert(next.Unopened[0].Epoch, qt.Equals, uint64(10))
-	c.Assert(next.Unopened[1].Epoch, qt.Equals, uint64(11)) // c is a source only by it
+	c.Assert(next.Unopened[1].Epoch, qt.Equals, uint64(11)) // c is a source only because it opened this epoch
 	c.Assert(next.Unopened[2].Epoch, qt.Equals, uint64(13))
 	c.Assert(next.Unopened, qt.HasLen, maxUnopened)
 	c.Assert(next.Sources, qt.DeepEquals, []MemberID{"a", "b"})
--- a/internal/router/chain/view_change_test.go
+++ b/internal/router/chain/view_change_test.go
@@ -8,36 +8,37 @@
 )
 
 func TestTimedOutReplicaLeavesTheChainAndRejoinsAtItsTail(t *testing.T) {
-	for _, silent := range []MemberID{"a", "b", "c"} {
+	for _, stopped := range []MemberID{"a", "b", "c"} {
 		cluster := newCluster(t, 3, 3)
 		cluster.mustWrite("a", 0, 1, "one")
-		cluster.machines[silent].down = true
+		cluster.machines[stopped].down = true
 		cluster.run(1500 * time.Millisecond)
 		var rest []MemberID
 		for _, id := range cluster.order {
-			if id != silent {
+			if id != stopped {
 				rest = append(rest, id)
 			}
 		}
 		cluster.mustChain(rest[0], rest...)
 		cluster.mustWrite(rest[1], 1, 2, "two")
-		cluster.restart(silent)
+		cluster.restart(stopped)
 		cluster.run(1500 * time.Millisecond)
-		cluster.mustChain(silent, append(rest, silent)...)
-		cluster.mustRead(silent, 2, "two")
-		cluster.c.Assert(cluster.machines[silent].node.state.accepted.Epoch, qt.Equals, cluster.view(silent).Epoch)
+		cluster.mustChain(stopped, append(rest, stopped)...)
+		cluster.mustRead(stopped, 2, "two")
+		cluster.c.Assert(cluster.machines[stopped].node.state.accepted.Epoch, qt.Equals,
+			cluster.view(stopped).Epoch)
 	}
 }
 
-func TestRegisterIsBackWithinASecondAfterAReplicaDies(t *testing.T) {
-	for _, dead := range []MemberID{"a", "b", "c"} {
+func TestWritesResumeWithinASecondOfAReplicaFailure(t *testing.T) {
+	for _, failed := range []MemberID{"a", "b", "c"} {
 		cluster := newCluster(t, 3, 3)
 		cluster.mustWrite("a", 0, 1, "one")
 		other := MemberID("a")
-		if dead == other {
+		if failed == other {
 			other = "b"
 		}
-		cluster.machines[dead].down = true
+		cluster.machines[failed].down = true
 		began := cluster.now
 		for applied := false; !applied; {
 			request := cluster.propose(other, 1, 2, "two")
@@ -46,7 +47,7 @@
 			}
 			applied = cluster.outcome(other, request) == Applied
 		}
-		cluster.c.Logf("%s dead: written after %v", dead, cluster.now-began)
+		cluster.c.Logf("%s failed: a write was applied after %v", failed, cluster.now-began)
 		cluster.c.Assert(cluster.now-began < time.Second, qt.IsTrue)
 	}
 }
@@ -61,7 +62,8 @@
 	cluster.mustWrite("a", 1, 2, "two")
 }
 
-// TestDrainingMemberIsDrainedOnceAnotherHasItsState: its replacement has to fetch the state first.
+// TestDrainingMemberIsDrainedOnceAnotherHasItsState: a draining member isn't drained before its replacement
+// has fetched the state.
 func TestDrainingMemberIsDrainedOnceAnotherHasItsState(t *testing.T) {
 	cluster := newCluster(t, 4, 3)
 	cluster.mustWrite("a", 0, 1, "one")
@@ -79,7 +81,8 @@
 	cluster.c.Assert(string(cluster.machines["d"].node.state.accepted.Body), qt.Equals, "one")
 }
 
-// TestDrainingMemberWithoutAReplacementIsDrainedOutsideTheChain: its vote is missed, its replica isn't.
+// TestDrainingMemberWithoutAReplacementIsDrainedOutsideTheChain: without a candidate, a draining member is
+// drained as soon as it is out of the chain, though its vote will be missing.
 func TestDrainingMemberWithoutAReplacementIsDrainedOutsideTheChain(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
@@ -88,7 +91,7 @@
 		cluster.run(time.Second)
 	}
 	cluster.c.Assert(cluster.machines["b"].node.Drained(), qt.IsTrue)
-	cluster.c.Assert(cluster.machines["c"].node.Drained(), qt.IsFalse) // a would be alone
+	cluster.c.Assert(cluster.machines["c"].node.Drained(), qt.IsFalse) // a would be the only replica
 }
 
 func TestDrainingReplicaStaysIfItIsNeeded(t *testing.T) {
@@ -119,7 +122,7 @@
 	cluster := newCluster(t, 4, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.run(2 * time.Second)
-	cluster.c.Assert(cluster.view("d").isMember("d"), qt.IsFalse) // all members are there
+	cluster.c.Assert(cluster.view("d").isMember("d"), qt.IsFalse) // all members are available
 	cluster.machines["a"].down = true
 	cluster.run(1100 * time.Millisecond)
 	cluster.c.Assert(cluster.view("d").isMember("d"), qt.IsFalse)
@@ -128,7 +131,7 @@
 	cluster.mustChain("d", "b", "c", "d")
 	cluster.restart("a")
 	cluster.run(2 * time.Second)
-	cluster.c.Assert(cluster.view("a").isMember("a"), qt.IsFalse) // a former member waits as a candidate
+	cluster.c.Assert(cluster.view("a").isMember("a"), qt.IsFalse) // a former member is only a candidate
 	cluster.mustRead("a", 1, "one")
 }
 
@@ -164,7 +167,7 @@
 	cluster.mustRead("b", 1, "one")
 }
 
-func TestOneWayPartitionDoesNotLetViewsFlap(t *testing.T) {
+func TestViewsDoNotFlapDuringAOneWayPartition(t *testing.T) {
 	for _, pair := range [][2]MemberID{{"a", "b"}, {"b", "a"}, {"b", "c"}, {"c", "a"}, {"a", "c"}} {
 		cluster := newCluster(t, 3, 3)
 		cluster.mustWrite("a", 0, 1, "one")
@@ -182,13 +185,13 @@
 	}
 }
 
-func TestUnopenedEpochIsSealedAndItsSourcesGoOn(t *testing.T) {
+func TestUnopenedEpochIsSealedAndASourceBecomesHead(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.machines["c"].down = true
 	cluster.run(1500 * time.Millisecond)
 	cluster.mustWrite("a", 1, 2, "two") // a and b have accepted it
-	// b is isolated, c rejoins, and the view of a and c never opens as a's disk is lost.
+	// b is isolated and c rejoins. The view of a and c never opens, as c receives no entry and then a fails.
 	cluster.drop = func(from, to MemberID, m *Message) bool {
 		return from == "b" || to == "b" || m.Kind == Append && to == "c"
 	}
@@ -203,7 +206,7 @@
 	cluster.mustWrite("c", 2, 3, "three")
 }
 
-func TestFullDiskAcknowledgesNothingAndLeavesTheChain(t *testing.T) {
+func TestReplicaWithAFailingDiskAcknowledgesNothingAndLeavesTheChain(t *testing.T) {
 	for _, full := range []MemberID{"a", "b", "c"} {
 		cluster := newCluster(t, 3, 3)
 		cluster.mustWrite("a", 0, 1, "one")
@@ -227,7 +230,7 @@
 	}
 }
 
-func TestDuelOfProposersEnds(t *testing.T) {
+func TestDuelingProposersAgreeOnAView(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.machines["c"].down = true
 	for cluster.view("a").Epoch == 1 && cluster.now < time.Minute {
@@ -277,9 +280,9 @@
 	cluster.mustChain("a", "b", "a")
 }
 
-// TestAcceptedViewIsDecidedThoughNoPlannerWantsIt: a view that one acceptor has accepted names a candidate
-// whose disk is lost then. It is decided, the candidate is replaced, and the loss of another disk is
-// tolerated.
+// TestAcceptedViewIsDecidedThoughNoPlannerWantsIt: one acceptor has accepted a view that makes a candidate a
+// member, and then the candidate's disk is lost. The view is decided nevertheless, the candidate is replaced,
+// and the loss of another disk is tolerated.
 func TestAcceptedViewIsDecidedThoughNoPlannerWantsIt(t *testing.T) {
 	for _, lost := range []MemberID{"a", "b"} {
 		cluster := newCluster(t, 4, 3)
@@ -305,7 +308,8 @@
 	}
 }
 
-// TestMemberNeverSeenIsReplacedByAnotherAtItsAddress: the replacement need not wait for ReplaceAfter.
+// TestMemberNeverSeenIsReplacedByAnotherAtItsAddress: a member that was never seen is replaced by another
+// identity at its address without waiting for ReplaceAfter.
 func TestMemberNeverSeenIsReplacedByAnotherAtItsAddress(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	a := cluster.machines["a"].node
@@ -323,8 +327,8 @@
 	cluster.c.Assert(memberIDs(next.Members), qt.DeepEquals, []MemberID{"a", "b", "x"})
 }
 
-// TestProcessStallIsCompensatedOnlyForMembers: a node that had timed out before, or is not a member, isn't
-// taken for a live one.
+// TestProcessStallIsCompensatedOnlyForMembers: after a stall of this process, a node that had timed out
+// before or that is not a member doesn't count as live.
 func TestProcessStallIsCompensatedOnlyForMembers(t *testing.T) {
 	cluster := newCluster(t, 4, 3)
 	cluster.run(2 * time.Second)
@@ -341,7 +345,8 @@
 	cluster.c.Assert(p.seenDirectly("d"), qt.IsFalse)
 }
 
-// TestDrainingMemberWaitsForItsReplacement: it votes until its replacement does.
+// TestDrainingMemberWaitsForItsReplacement: while there is a candidate, a draining member outside the chain
+// isn't drained until the candidate has replaced it as a member.
 func TestDrainingMemberWaitsForItsReplacement(t *testing.T) {
 	cluster := newCluster(t, 3, 3)
 	cluster.mustWrite("a", 0, 1, "one")
@@ -361,15 +366,16 @@
 	cluster.c.Assert(b.Drained(), qt.IsTrue)
 }
 
-// TestReplicaThatReceivesNothingIsLeftOut: nothing reaches it any more before it learns of a view in whose
-// chain it is, so that its last report is of the epoch before and says that it receives from all.
-func TestReplicaThatReceivesNothingIsLeftOut(t *testing.T) {
+// TestReplicaThatReceivesNothingIsRemovedFromTheChain: messages to a replica are lost from before it learns
+// of a view whose chain includes it. Its heartbeats therefore stay in the previous epoch, in which it last
+// reported that it receives from all members.
+func TestReplicaThatReceivesNothingIsRemovedFromTheChain(t *testing.T) {
 	cluster := newCluster(t, 5, 5)
 	cluster.mustWrite("a", 0, 1, "one")
-	deaf := false
+	proposed := false
 	cluster.drop = func(_, to MemberID, m *Message) bool {
-		deaf = deaf || m.Kind == Accept
-		return deaf && to == "c"
+		proposed = proposed || m.Kind == Accept
+		return proposed && to == "c"
 	}
 	cluster.machines["e"].down = true
 	cluster.run(time.Second)
