--- a/internal/router/chain/head.go
+++ b/internal/router/chain/head.go
@@ -116,7 +116,8 @@
 	n.startNext()
 }
 
-// commitPending opens the epoch and commits the latest accepted entry, which the full chain has accepted.
+// commitPending opens the epoch and, if the chain has enough replicas, commits the latest accepted entry,
+// which the full chain has accepted.
 func (n *Node) commitPending() {
 	head := &n.head
 	if head.open && !head.pending {
--- a/internal/router/chain/plan.go
+++ b/internal/router/chain/plan.go
@@ -22,7 +22,7 @@
 	// without a gap by then.
 	SinceLastSeen, StableFor time.Duration
 	// Degraded means that it is draining or stalled, see Message; Draining means that it is draining but not
-	// stalled. DegradedFor is how long it has been degraded.
+	// stalled. DegradedFor is how long it has been degraded; a node doesn't measure it for its own stall.
 	Degraded, Draining bool
 	DegradedFor        time.Duration
 	// EntryEpoch is the latest epoch in which it accepted an entry.
--- a/internal/router/chain/plan_test.go
+++ b/internal/router/chain/plan_test.go
@@ -239,9 +239,9 @@
 	c.Assert(SealNeeded(view, nodes(entryOf(4)), testPlannerConfig), qt.IsFalse)
 }
 
-// TestSourceSurvivesManyUnopenedEpochs lets b and c join the chain by turns, in epochs none of which opens.
-// When a becomes unavailable, b still counts as a source, as in each of these epochs some replica accepted no
-// entry.
+// TestSourceSurvivesManyUnopenedEpochs lets b and c join the chain alternately, in epochs of which none
+// opens. When a becomes unavailable, b still counts as a source, as in each of these epochs some replica
+// accepted no entry.
 func TestSourceSurvivesManyUnopenedEpochs(t *testing.T) {
 	c := qt.New(t)
 	view := testView("a", "b")
--- a/internal/router/chain/view.go
+++ b/internal/router/chain/view.go
@@ -17,7 +17,8 @@
 // View is the configuration of the chain in one epoch. A decided view is immutable, and its slices are
 // shared. The zero View, of epoch 0, means that no view has been decided.
 //
-// Plan and the bootstrap ensure these invariants of every view: the chain contains at least a majority of the
+// A member is called a source if it is known to have every committed entry, so that it may be the head. Plan
+// and the bootstrap ensure these invariants of every view: the chain contains at least a majority of the
 // members; its head is a source; catching-up replicas are in the chain, and the head isn't one of them; the
 // members of a first view include a majority of each chain in its Unopened.
 type View struct {
@@ -26,8 +27,8 @@
 	Members []Member
 	// Chain are the replicas from head to tail, all of them members.
 	Chain []MemberID
-	// CatchingUp are the replicas that were not known to have every committed entry when this view was planned.
-	// Each may lack the committed entry until it accepts an entry in this epoch.
+	// CatchingUp are the replicas that were not sources when this view was planned. Each may lack the committed
+	// entry until it accepts an entry in this epoch.
 	CatchingUp []MemberID
 	// Sources are the members that have every entry that was committed before the first epoch of Unopened, or
 	// before this epoch if Unopened is empty. One of them may become head of a later view if it is certain that
@@ -95,7 +96,7 @@
 	return Member{}, false
 }
 
-// isMember reports whether id is an acceptor for the next view.
+// isMember reports whether a node is a member, and thereby an acceptor for the next view.
 func (v View) isMember(id MemberID) bool {
 	_, ok := v.member(id)
 	return ok
