--- a/internal/router/scheduler/arrivals.go
+++ b/internal/router/scheduler/arrivals.go
@@ -10,8 +10,8 @@
 //
 // T is the mean age of the load reports in ms. S is the mean time of a request in ms; reports older than a
 // few S have lost their weight by their decay (water_level.go), so that T is at most maxAgeServiceTimes·S.
-// λ is the assumed utilization, and u the observed one: the fraction of the servers' capacity in use by their
-// reports. These come with responses, and the load that a departing request leaves behind has the same
+// λ is the assumed utilization, and u the observed one: the fraction of the servers' capacity in use by
+// their reports. These come with responses, and the load that a departing request leaves behind has the same
 // distribution as the load that an arriving request finds. λ is an overestimate, as the paper advises. n is
 // the number of servers whose arrivals compete for the candidates: all of them if any request of the service
 // may go to any candidate; one if the candidates depend on the prompt, because other prompts then have other
--- a/internal/simulation/proxysim/baseline.go
+++ b/internal/simulation/proxysim/baseline.go
@@ -156,7 +156,9 @@
 	return append(acts, balance.Action{Kind: balance.Fail, ID: o.ID})
 }
 
-func (b *baselinePolicy) ClientDisconnected(_ time.Duration, id string, acts []balance.Action) []balance.Action {
+func (b *baselinePolicy) ClientDisconnected(
+	_ time.Duration, id string, acts []balance.Action,
+) []balance.Action {
 	delete(b.pending, id)
 	return acts
 }
