--- a/internal/router/scheduler/prefix_index.go
+++ b/internal/router/scheduler/prefix_index.go
@@ -60,9 +60,8 @@
 // newest returns the keys of at most limit most recently used entries, the newest first.
 func (x *prefixIndex) newest(limit int) []prefixKey {
 	var keys []prefixKey
-	for position := x.entries[0].older; position != 0 && len(keys) < limit;
-		position = x.entries[position].older {
-		keys = append(keys, x.entries[position].prefixKey)
+	for i := x.entries[0].older; i != 0 && len(keys) < limit; i = x.entries[i].older {
+		keys = append(keys, x.entries[i].prefixKey)
 	}
 	return keys
 }
