--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -119,7 +119,7 @@
 		}
 	}()
 	for {
-		switch step := s.Decider.Pick(call); step.Kind {
+		switch step := s.Decider.NextStep(call); step.Kind {
 		case dispatch.Send:
 			attempts = append(attempts, s.startAttempt(call, step, id, message, u))
 		case dispatch.Cancel:
@@ -135,7 +135,7 @@
 func (s *Server) startAttempt(call *dispatch.Call, step dispatch.Step, id string, message *http1.Request,
 	u *upload) *attempt {
 	a := &attempt{Attempt: upstream.Attempt{Server: step.Server, Request: message, StartBy: step.StartBy,
-		GiveUpAt: step.GiveUpAt}}
+		GiveUpAt: step.Deadline}}
 	if u != nil {
 		a.Upload = attemptUpload{u, step.Attempt}
 	}
@@ -171,7 +171,7 @@
 			response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: wait})
 		}
 		return finalResponse{response: response, class: class, answer: answerDropped}
-	case dispatch.ClientGone:
+	case dispatch.ClientDisconnected:
 		s.Stats.ClientGone.Add()
 		s.recordOutcome(c, outcomeClientGone, 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
--- a/internal/router/agent/chain_encoding.go
+++ b/internal/router/agent/chain_encoding.go
@@ -5,8 +5,8 @@
 	"cresshub/internal/router/peerproto"
 )
 
-// encodeChain encodes a message of the chain for the peer protocol.
-func encodeChain(m *chain.Message) []byte {
+// encodeChainMessage encodes a message between members of the chain for the peer protocol.
+func encodeChainMessage(m *chain.Message) []byte {
 	return peerproto.Encode(&peerproto.ChainMessage{
 		Kind: int(m.Kind), From: string(m.From), Epoch: int64(m.Epoch), Address: m.Address, HasDisk: m.HasDisk,
 		EntryEpoch: int64(m.EntryEpoch), Open: m.Open, Draining: m.Draining, Stalled: m.Stalled, Sealed: m.Sealed,
@@ -19,8 +19,8 @@
 	})
 }
 
-// decodeChain decodes a message of the chain.
-func decodeChain(body []byte) (chain.Message, error) {
+// decodeChainMessage decodes a message between members of the chain.
+func decodeChainMessage(body []byte) (chain.Message, error) {
 	var m peerproto.ChainMessage
 	if err := peerproto.Decode(body, &m); err != nil {
 		return chain.Message{}, err
@@ -59,7 +59,7 @@
 
 func encodeView(v *chain.View) peerproto.ChainView {
 	encoded := peerproto.ChainView{Epoch: int64(v.Epoch), Members: memberInfos(v.Members),
-		Chain: idStrings(v.Chain), Fresh: idStrings(v.Fresh), Sources: idStrings(v.Sources)}
+		Chain: idStrings(v.Chain), Fresh: idStrings(v.CatchingUp), Sources: idStrings(v.Sources)}
 	for _, past := range v.Unopened {
 		encoded.Unopened = append(encoded.Unopened,
 			peerproto.PastChain{Epoch: int64(past.Epoch), Chain: idStrings(past.Chain)})
@@ -68,7 +68,7 @@
 }
 
 func decodeView(v *peerproto.ChainView) chain.View {
-	view := chain.View{Epoch: uint64(v.Epoch), Chain: memberIDs(v.Chain), Fresh: memberIDs(v.Fresh),
+	view := chain.View{Epoch: uint64(v.Epoch), Chain: memberIDs(v.Chain), CatchingUp: memberIDs(v.Fresh),
 		Sources: memberIDs(v.Sources)}
 	for _, member := range v.Members {
 		view.Members = append(view.Members, chain.Member{ID: chain.MemberID(member.ID), Address: member.Address})
--- a/internal/router/agent/chain_encoding_test.go
+++ b/internal/router/agent/chain_encoding_test.go
@@ -9,13 +9,13 @@
 	"cresshub/internal/router/chain"
 )
 
-// TestChainMessagesKeepEveryField fills every field of a message by reflection, so that a new field that is
-// not carried between processes fails here.
+// TestChainMessagesKeepEveryField fills every field of a message by reflection, so that it fails if a new
+// field is not encoded or decoded.
 func TestChainMessagesKeepEveryField(t *testing.T) {
 	var message chain.Message
 	next := 1
 	fillWithNonZero(reflect.ValueOf(&message).Elem(), &next)
-	decoded, err := decodeChain(encodeChain(&message))
+	decoded, err := decodeChainMessage(encodeChainMessage(&message))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, decoded, qt.DeepEquals, message)
 }
--- a/internal/router/chain/bootstrap_test.go
+++ b/internal/router/chain/bootstrap_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestBootstrapperWithoutADiskIsNoMember(t *testing.T) {
+func TestBootstrapperWithoutADiskIsNotAMember(t *testing.T) {
 	cluster := newCluster(t, 0, 0)
 	var members []Member
 	for i, id := range []MemberID{"a", "b", "c"} {
@@ -51,8 +51,8 @@
 	for _, member := range members {
 		cluster.start(member.ID, member.Address, true, 3)
 	}
-	cluster.run(3 * time.Second) // the bootstrapper waits for a third
-	cluster.drop = dropKind(GenesisReply, "a")
+	cluster.run(3 * time.Second) // a bootstrapper that knows only two members waits for this long
+	cluster.drop = dropKind(BootstrapAcceptReply, "a")
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members[:2]) })
 	cluster.run(100 * time.Millisecond)
 	cluster.drop = nil
@@ -60,7 +60,7 @@
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
 	cluster.run(500 * time.Millisecond)
 	cluster.c.Assert(cluster.view("b").Epoch > 0, qt.IsTrue)
-	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Members, qt.DeepEquals, members[:2])
+	cluster.c.Assert(cluster.machines["b"].node.state.acceptedFirstView.Members, qt.DeepEquals, members[:2])
 }
 
 func TestEmptyDiskAfterTheFirstStartAcceptsNoFirstView(t *testing.T) {
@@ -71,25 +71,26 @@
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
 	cluster.run(time.Second)
 	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
-	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Epoch, qt.Equals, uint64(0))
+	cluster.c.Assert(cluster.machines["b"].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(0))
 }
 
-// TestGenesisReplyGoesToTheBootstrappersAddress: a machine that knows the sender only by its Genesis replies
-// to the address that the message names.
-func TestGenesisReplyGoesToTheBootstrappersAddress(t *testing.T) {
+// TestBootstrapAcceptReplyGoesToTheBootstrappersAddress: a machine that has never heard of the bootstrapper
+// replies to the address in the BootstrapAccept message.
+func TestBootstrapAcceptReplyGoesToTheBootstrappersAddress(t *testing.T) {
 	c := qt.New(t)
 	config := Config{Self: Member{"b", "10.0.0.2"}, HasDisk: true, AllowBootstrap: true,
 		Random: rand.New(rand.NewSource(1))}
 	node, _, err := Open(config, 0, nil)
 	c.Assert(err, qt.IsNil)
 	view := firstView(1, []Member{{"a", "10.0.0.1"}, {"b", "10.0.0.2"}}, nil)
-	effects := node.Receive(time.Second, Message{Kind: Genesis, From: "f", Address: "10.0.0.9", View: view})
+	effects := node.Receive(time.Second,
+		Message{Kind: BootstrapAccept, From: "f", Address: "10.0.0.9", View: view})
 	c.Assert(effects.Messages, qt.HasLen, 1)
 	c.Check(effects.Messages[0].To, qt.Equals, Member{"f", "10.0.0.9"})
-	c.Check(effects.Messages[0].Message.Kind, qt.Equals, GenesisReply)
+	c.Check(effects.Messages[0].Message.Kind, qt.Equals, BootstrapAcceptReply)
 }
 
-// newBootstrapCluster starts machines without a first view.
+// newBootstrapCluster starts machines that have no view yet.
 func newBootstrapCluster(t *testing.T, ids ...MemberID) (*testCluster, []Member) {
 	t.Helper()
 	cluster := newCluster(t, 0, 0)
@@ -105,7 +106,7 @@
 	return cluster, members
 }
 
-// keepBootstrapping calls Bootstrap twice a second, as a bootstrapper does.
+// keepBootstrapping calls Bootstrap twice a second, as a bootstrapping node does.
 func (tc *testCluster) keepBootstrapping(at MemberID, members []Member, during time.Duration) {
 	for end := tc.now + during; tc.now < end; {
 		tc.do(at, func(n *Node) Effects { return n.Bootstrap(tc.now, members) })
@@ -113,13 +114,13 @@
 	}
 }
 
-func TestBootstrapCompletesWhenADiskIsLostAfterItsConsent(t *testing.T) {
+func TestBootstrapCompletesWhenADiskIsLostAfterAccepting(t *testing.T) {
 	for _, lost := range []MemberID{"b", "c"} {
 		cluster, members := newBootstrapCluster(t, "a", "b", "c")
-		cluster.drop = dropKind(GenesisReply, "a")
+		cluster.drop = dropKind(BootstrapAcceptReply, "a")
 		cluster.keepBootstrapping("a", members, time.Second)
 		for _, id := range cluster.order {
-			cluster.c.Assert(cluster.machines[id].node.state.genesis.Epoch, qt.Equals, uint64(1))
+			cluster.c.Assert(cluster.machines[id].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(1))
 		}
 		cluster.machines[lost].down = true
 		cluster.start("x", cluster.machines[lost].config.Self.Address, false, 3)
@@ -134,10 +135,10 @@
 	}
 }
 
-func TestConsentingMembersContinueWithoutTheirBootstrapper(t *testing.T) {
+func TestMembersThatAcceptedContinueWithoutTheBootstrapper(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c", "f")
 	cluster.drop = func(_, to MemberID, m *Message) bool {
-		return to == "f" || m.Kind == Genesis && to == "c"
+		return to == "f" || m.Kind == BootstrapAccept && to == "c"
 	}
 	cluster.keepBootstrapping("f", members[:3], time.Second)
 	cluster.machines["f"].down = true
@@ -151,8 +152,8 @@
 	cluster.mustWrite("c", 0, 1, "one")
 }
 
-// TestRevokedFirstViewIsNeverAdopted: a decided first view that only one member has learnt of is overtaken
-// by a later attempt of the others.
+// TestRevokedFirstViewIsNeverAdopted: only one member learns that a first view was decided, and stops. The
+// others decide a later attempt, and must not adopt the first view afterwards.
 func TestRevokedFirstViewIsNeverAdopted(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c", "f")
 	first := firstView(1, members[:3], nil)
@@ -176,34 +177,34 @@
 	cluster.c.Assert(cluster.view("c").isMember("c"), qt.IsTrue)
 }
 
-// TestMinorityThatHasRevokedTheFirstViewRejoins: the others adopt a view that the member must not adopt, and
-// add it to the chain by the next one.
+// TestMinorityThatHasRevokedTheFirstViewRejoins: a member has accepted a later attempt, so it must not adopt
+// the first view that the others adopt. It rejoins the chain in a later view that the others decide.
 func TestMinorityThatHasRevokedTheFirstViewRejoins(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c")
 	first := firstView(1, members, nil)
 	second := firstView(2, members[:2], []PastChain{{1, first.Chain}})
-	tell := func(id MemberID, m Message) {
+	deliver := func(id MemberID, m Message) {
 		m.From, m.Address = "f", "10.0.0.9"
 		cluster.do(id, func(n *Node) Effects { return n.Receive(cluster.now, m) })
 	}
 	for _, id := range cluster.order {
-		tell(id, Message{Kind: Genesis, View: first})
+		deliver(id, Message{Kind: BootstrapAccept, View: first})
 	}
-	tell("a", Message{Kind: Genesis, View: second})
-	cluster.c.Assert(cluster.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(2))
+	deliver("a", Message{Kind: BootstrapAccept, View: second})
+	cluster.c.Assert(cluster.machines["a"].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(2))
 	for _, id := range cluster.order {
-		tell(id, Message{Kind: ViewNotice, View: first})
+		deliver(id, Message{Kind: ViewNotice, View: first})
 	}
 	cluster.c.Assert(cluster.view("a").Epoch, qt.Equals, uint64(0))
-	tell("b", Message{Kind: Genesis, View: second})
-	cluster.c.Assert(cluster.machines["b"].node.state.genesis.Epoch, qt.Equals,
-		uint64(1)) // it is in the first one
+	deliver("b", Message{Kind: BootstrapAccept, View: second})
+	cluster.c.Assert(cluster.machines["b"].node.state.acceptedFirstView.Epoch, qt.Equals,
+		uint64(1)) // b has adopted the first view and accepts no further attempt
 	cluster.run(5 * time.Second)
 	cluster.mustWrite("a", 0, 1, "one")
 	cluster.c.Assert(cluster.view("a").Chain, qt.HasLen, 3)
 }
 
-func TestWhichFirstViewsAMachineAccepts(t *testing.T) {
+func TestMayAcceptAttempt(t *testing.T) {
 	c := qt.New(t)
 	a, b, d := Member{"a", "1"}, Member{"b", "2"}, Member{"d", "4"}
 	first := firstView(1, []Member{a, b, {"c", "3"}}, nil)
@@ -222,10 +223,10 @@
 		{"later attempt of a majority", false, first, second, true},
 		{"later attempt with a new disk", false, View{}, second, true},
 		{"later attempt of a minority", true, first, firstView(2, []Member{a, d}, []PastChain{past}), false},
-		{"later attempt that names no earlier one", true, View{}, firstView(2, []Member{a, b}, nil), false},
-		{"later attempt that doesn't name the accepted one", true,
+		{"later attempt that lists no earlier one", true, View{}, firstView(2, []Member{a, b}, nil), false},
+		{"later attempt that doesn't list the accepted one", true,
 			firstView(1, []Member{a, d}, nil), second, false},
-		{"third attempt that doesn't name the first", true, second,
+		{"third attempt that doesn't list the first", true, second,
 			firstView(3, []Member{a, b}, []PastChain{{2, second.Chain}}), false},
 		{"third attempt", true, second, firstView(3, []Member{a, b}, []PastChain{past, {2, second.Chain}}), true},
 		{"earlier attempt", true, second, first, false},
@@ -235,8 +236,8 @@
 				Random: rand.New(rand.NewSource(1))}
 			node, _, err := Open(config, 0, nil)
 			c.Assert(err, qt.IsNil)
-			node.state.genesis = test.accepted
-			c.Check(node.mayAcceptGenesis(&test.view), qt.Equals, test.want)
+			node.state.acceptedFirstView = test.accepted
+			c.Check(node.mayAcceptAttempt(&test.view), qt.Equals, test.want)
 		})
 	}
 }
@@ -249,12 +250,15 @@
 	cluster.mustChain("a", "a", "b", "c")
 }
 
-// TestUnresponsiveMemberIsNotDroppedEarly: an attempt of two could not survive the loss of one of them.
+// TestUnresponsiveMemberIsNotDroppedEarly: while only c's replies are lost, the bootstrapper must not go on
+// to an attempt of two members, which could not tolerate the loss of one of them.
 func TestUnresponsiveMemberIsNotDroppedEarly(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c")
-	cluster.drop = func(from, _ MemberID, m *Message) bool { return m.Kind == GenesisReply && from == "c" }
+	cluster.drop = func(from, _ MemberID, m *Message) bool {
+		return m.Kind == BootstrapAcceptReply && from == "c"
+	}
 	cluster.keepBootstrapping("a", members, 5*time.Second)
-	cluster.c.Assert(cluster.machines["a"].node.state.genesis.Epoch, qt.Equals, uint64(1))
+	cluster.c.Assert(cluster.machines["a"].node.state.acceptedFirstView.Epoch, qt.Equals, uint64(1))
 	cluster.machines["b"].down = true
 	cluster.start("x", "10.0.0.2", false, 3)
 	cluster.machines["x"].node.SetContacts(members)
@@ -264,8 +268,9 @@
 	cluster.mustWrite("a", 0, 1, "one")
 }
 
-// TestConsentThatIsNotDurableDoesNotCount: the bootstrapper's disk fails to persist its own consent.
-func TestConsentThatIsNotDurableDoesNotCount(t *testing.T) {
+// TestAcceptanceThatIsNotDurableDoesNotCount: the bootstrapper's disk fails to persist that it has accepted
+// its own attempt.
+func TestAcceptanceThatIsNotDurableDoesNotCount(t *testing.T) {
 	cluster, members := newBootstrapCluster(t, "a", "b", "c")
 	cluster.machines["a"].failing = true
 	cluster.do("a", func(n *Node) Effects { return n.Bootstrap(cluster.now, members) })
@@ -274,5 +279,5 @@
 	cluster.mustWrite("a", 0, 1, "one")
 	restored, _, err := Open(cluster.machines["a"].config, cluster.now, cluster.machines["a"].records)
 	cluster.c.Assert(err, qt.IsNil)
-	cluster.c.Assert(restored.state.genesis.Epoch, qt.Equals, uint64(1))
+	cluster.c.Assert(restored.state.acceptedFirstView.Epoch, qt.Equals, uint64(1))
 }
--- a/internal/router/scheduler/queue_delay_test.go
+++ b/internal/router/scheduler/queue_delay_test.go
@@ -55,7 +55,7 @@
 		{"alone", 1, func(*Scheduler, *Request) {}, false, false},
 		{"another one has a free slot", 2, func(*Scheduler, *Request) {}, true, true},
 		{"the other one is full", 2, func(scheduler *Scheduler, _ *Request) {
-			scheduler.pool(10*second, plainService()).plainTime = movingMean{80, 1}
+			scheduler.pool(10*second, plainService()).plainServiceTime = movingMean{80, 1}
 			scheduler.ObserveLoad(10*second, "a", Load{Running: 4, Waiting: 3, Slots: 4})
 			scheduler.ObserveLoad(10*second, "b", Load{Running: 4, Waiting: 3, Slots: 4})
 		}, true, false},
@@ -66,11 +66,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			scheduler, r := plainScheduler(test.servers), &Request{Service: plainService()}
 			test.prepare(scheduler, r)
-			tried := len(r.Excluded)
+			excluded := len(r.Excluded)
 			alternative := scheduler.Alternative(10*second, r, "a")
 			qt.Check(t, alternative.Exists, qt.Equals, test.exists)
 			qt.Check(t, alternative.HasFreeSlot, qt.Equals, test.free)
-			qt.Check(t, r.Excluded, qt.HasLen, tried)
+			qt.Check(t, r.Excluded, qt.HasLen, excluded)
 		})
 	}
 }
@@ -78,13 +78,13 @@
 func TestQueueDelayCountsServiceTimes(t *testing.T) {
 	scheduler := plainScheduler(2)
 	countRequestsTo(scheduler, 0, "a", true)
-	scheduler.pools["plain"].plainTime = movingMean{80, 1}
+	scheduler.pools["plain"].plainServiceTime = movingMean{80, 1}
 	for _, id := range []string{"a", "b"} {
 		scheduler.ObserveLoad(10*second, id, Load{Running: 4, Waiting: 3, Slots: 4})
 	}
 	delay := scheduler.QueueDelay(10*second, &Request{Service: plainService()})
 	qt.Check(t, delay.HasFreeSlot, qt.IsFalse)
-	qt.Check(t, ms(delay.Wait), isNear, 80.0*4/4, 1e-3, qt.Commentf("three before it and its own turn"))
+	qt.Check(t, ms(delay.Wait), isNear, 80.0*4/4, 1e-3, qt.Commentf("the fourth to wait for one of four slots"))
 }
 
 func TestRequestStartsWithinADelay(t *testing.T) {
