--- a/internal/router/dataplane/accept.go
+++ b/internal/router/dataplane/accept.go
@@ -11,18 +11,20 @@
 	logFailure := func(err error) {
 		p.observer.failureLog.Warn().Err(err).Msg("front: accept failed, retrying")
 	}
-	_ = acceptloop.Run(listener, logFailure, p.accept) // it ends with the listener
+	_ = acceptloop.Run(listener, logFailure, p.accept) // returns only when the listener is closed
 	return nil
 }
 
-// accept starts to serve a client, or closes its connection if there are too many.
+// accept starts a goroutine that serves the client, or closes its connection if the connection limit is
+// reached.
 func (p *Proxy) accept(conn net.Conn) {
 	socket, err := newSocket(conn, p.clock)
 	if err != nil {
 		conn.Close()
 		return
 	}
-	// An accepted socket is connected already, so the option is all that is missing.
+	// An accepted socket is connected already, so only the option has to be set. The connection works without
+	// it (see setUserTimeout), so an error is ignored.
 	_ = setUserTimeout(socket.raw, clientTimeout)
 	client := &client{proxy: p, socket: socket}
 	if !p.addClient(client) {
@@ -36,7 +38,7 @@
 	go client.run()
 }
 
-// addClient registers a client unless there are too many.
+// addClient registers a client. It returns false if the connection limit is reached.
 func (p *Proxy) addClient(client *client) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/dataplane/attempts.go
+++ b/internal/router/dataplane/attempts.go
@@ -3,22 +3,23 @@
 import "cresshub/internal/router/scheduler"
 
 // attemptCounter counts the attempts of one request at servers against its route's maximum. The first
-// prefill call that a server accepts is not counted; later ones are, as is each one that a server rejects.
-// The first counted attempt is free, each further one is a retry that the budget has to pay for.
+// prefill call that a server accepts is not counted; later ones are, and so is each one that a server
+// rejects. The first counted attempt is free; each further one is a retry that is charged to the budget.
 type attemptCounter struct {
-	maxAttempts     int // of the route
-	count           int
-	paidRetries     int  // taken from the budget
-	prefillAccepted bool // a server has accepted, or may have, a prefill call
-	// unpaidPrefills are prefill calls that a server may have accepted, or not, and that are not paid for.
+	maxAttempts     int  // the route's limit
+	count           int  // counted attempts so far
+	paidRetries     int  // retries charged to the budget
+	prefillAccepted bool // a server has accepted a prefill call, or may have
+	// unpaidPrefills is how many prefill calls may have been accepted by a server, with no response to tell,
+	// and are not charged to the budget yet.
 	unpaidPrefills int
 }
 
-// allows reports whether a call in that role keeps within the maximum. A prefill call needs room for the
-// decode call as well.
+// allows reports whether a call in that role stays within the maximum. A prefill call must leave an attempt
+// for the decode call that follows.
 func (a *attemptCounter) allows(role scheduler.Role) bool { return a.countAfter(role) <= a.maxAttempts }
 
-// retryCost is how many retries have to be taken from the budget before a call in that role.
+// retryCost returns how many retries must be taken from the budget before a call in that role.
 func (a *attemptCounter) retryCost(role scheduler.Role) int {
 	return max(a.countAfter(role)-1-a.paidRetries, 0) + a.unpaidPrefills
 }
@@ -29,7 +30,8 @@
 	a.unpaidPrefills = 0
 }
 
-// countAfter is the count once the call, and after a prefill call the decode call, has been accepted.
+// countAfter returns the count once the call has been accepted, including the decode call that follows a
+// prefill call.
 func (a *attemptCounter) countAfter(role scheduler.Role) int {
 	if role == scheduler.Prefill && a.prefillAccepted {
 		return a.count + 2
--- a/internal/router/dataplane/chooser.go
+++ b/internal/router/dataplane/chooser.go
@@ -10,50 +10,51 @@
 	"cresshub/internal/stallclock"
 )
 
-// chooser is what the data plane asks of the scheduler; *scheduler.Scheduler in the program. Times are on the
-// steady clock of the Proxy.
+// chooser is the scheduler's interface to the data plane; *scheduler.Scheduler implements it. Times are
+// measured on the Proxy's monotonic clock.
 type chooser interface {
 	callChooser
 	peerExchange
 }
 
-// callChooser chooses the servers of calls and observes how the calls go.
+// callChooser chooses a server for each call and is told about the progress of the calls.
 type callChooser interface {
 	// Update replaces the table of servers.
 	Update(now time.Duration, table *catalog.Table)
 	// Split reports whether the request's prompt is to be prefilled by one server for another.
 	Split(now time.Duration, req *scheduler.Request) bool
-	// Choose begins a call, nil if no server may be asked. Done has to end each call once.
+	// Choose begins a call to the server that it chooses. It returns nil if no server may be called. Done must
+	// be called exactly once for each call.
 	Choose(now time.Duration, req *scheduler.Request, role scheduler.Role,
 		prefillServer *catalog.Server) *scheduler.Call
 	FirstEvent(now time.Duration, call *scheduler.Call)
 	Done(now time.Duration, call *scheduler.Call, outcome scheduler.Outcome)
 	ObserveLoad(now time.Duration, server string, load scheduler.Load)
-	// RecordStall records that this process has not run for that long until now.
+	// RecordStall records that this process did not run for that long, up to now.
 	RecordStall(length time.Duration)
 	// Ejections returns how often servers were ejected.
 	Ejections() int64
-	// LastSuccess returns the newest call that a server answered with success.
+	// LastSuccess returns the most recent call that a server answered successfully.
 	LastSuccess(server string) scheduler.LastSuccess
-	// QueueDelay estimates how long a request would wait for a slot.
+	// QueueDelay estimates how long a request would wait for a server slot.
 	QueueDelay(now time.Duration, req *scheduler.Request) scheduler.SlotDelay
-	// Alternative looks for a server for the request other than the one of an id.
+	// Alternative looks for a server for the request other than the one with that ID.
 	Alternative(now time.Duration, req *scheduler.Request, serverID string) scheduler.Alternative
 }
 
-// lockedChooser lets many goroutines use one chooser, and keeps it at the newest table of servers.
+// lockedChooser makes a chooser safe for concurrent use, and passes it the newest table of servers.
 type lockedChooser struct {
 	state State
-	// inFlightChanged holds a token when calls began or ended since the last one was taken.
+	// inFlightChanged holds a token if calls have begun or ended since the previous token was received.
 	inFlightChanged chan struct{}
-	now             func() time.Duration // the steady clock
-	clock           *stallclock.Clock    // of this process's stalls
-	demandMeter     *demandMeter         // of model servers
-
-	mu    sync.Mutex // guards what follows
-	inner chooser
-	table *catalog.Table   // that inner has
-	known stallclock.Stats // the stalls that inner knows
+	now             func() time.Duration // the monotonic clock
+	clock           *stallclock.Clock    // measures the stalls of this process
+	demandMeter     *demandMeter         // of calls to model servers
+
+	mu             sync.Mutex // guards the fields below
+	inner          chooser
+	table          *catalog.Table   // the last one passed to inner
+	recordedStalls stallclock.Stats // the stalls that inner has been told of
 }
 
 func newLockedChooser(zone string, state State, clock *stallclock.Clock,
@@ -63,14 +64,14 @@
 		inner:           scheduler.New(zone, rand.Uint64())}
 }
 
-// lock locks mu, which the caller unlocks, and updates the chooser if there is a newer table of servers or
-// this process has stalled. It returns the time.
+// lock locks mu, which the caller must unlock, and updates the chooser if there is a newer table of servers
+// or this process has stalled. It returns the current time.
 func (lc *lockedChooser) lock() time.Duration {
 	lc.mu.Lock()
 	lc.clock.Notice()
-	if stalls := lc.clock.Stats(); stalls != lc.known {
-		lc.inner.RecordStall(stalls.Total - lc.known.Total)
-		lc.known = stalls
+	if stalls := lc.clock.Stats(); stalls != lc.recordedStalls {
+		lc.inner.RecordStall(stalls.Total - lc.recordedStalls.Total)
+		lc.recordedStalls = stalls
 	}
 	now := lc.now()
 	if table := servers(lc.state); table != lc.table {
@@ -116,10 +117,11 @@
 	lc.recordDemand(now, call, -1)
 }
 
-// recordDemand counts a call to a model server as begun, or as ended where change is -1.
-func (lc *lockedChooser) recordDemand(now time.Duration, call *scheduler.Call, change int) {
+// recordDemand adds delta to the calls in flight at model servers: 1 when a call begins, -1 when it ends.
+// Calls to other servers are ignored.
+func (lc *lockedChooser) recordDemand(now time.Duration, call *scheduler.Call, delta int) {
 	if call.Server.Role != catalog.NoRole {
-		lc.demandMeter.add(now, call.Server.Service, call.Role, change)
+		lc.demandMeter.add(now, call.Server.Service, call.Role, delta)
 		lc.signalChange()
 	}
 }
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -9,23 +9,22 @@
 	"cresshub/internal/invariant"
 )
 
-// client is a client's connection. One goroutine serves it, to which all fields belong but those that mu
-// guards.
+// client is a client's connection. One goroutine serves it and owns all fields except those that mu guards.
 type client struct {
 	proxy  *Proxy
 	socket *socket
 
-	// Of the connection.
+	// State of the connection.
 	hadRequest bool // it has carried a request
-	mustLinger bool // the response to a request that was not read completely has been sent
-	truncated  bool // the last response is incomplete, so that nothing may look like its end
+	mustLinger bool // a response was sent to a request that was not read completely
+	truncated  bool // the last response is incomplete, and the client must be able to tell
 
-	// Of the present request.
-	reservedBytes int // that its body and its buffered response take of the budget
-	responses     int // that have begun
+	// State of the current request.
+	reservedBytes int // taken from the body budget for its body and its buffered response
+	responses     int // responses to it that have begun
 
-	mu        sync.Mutex // guards what closeIfIdle and abortRequest read
-	idle      bool       // no byte of a request has arrived
+	mu        sync.Mutex // guards the fields below, which closeIfIdle and abortRequest read
+	idle      bool       // the next request is awaited, and no byte of it has arrived
 	roundTrip *roundTrip // in flight; nil between requests
 }
 
@@ -43,8 +42,8 @@
 	c.socket.returnBuffers()
 }
 
-// recoverPanic confines a panic to the connection whose request caused it. A violated invariant panics in
-// tests only, where it has to end the test.
+// recoverPanic confines a panic to the connection whose request caused it. A violated invariant, which panics
+// only in tests, is not recovered, so that it fails the test.
 func (c *client) recoverPanic() {
 	if cause := recover(); cause != nil {
 		if violation, ok := cause.(*invariant.ViolationError); ok {
@@ -55,7 +54,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. It returns false if the connection has ended.
+// awaitRequest waits for the first byte of a request. It returns false if none arrives before the idle timeout
+// or the end of the connection.
 func (c *client) awaitRequest() bool {
 	if c.socket.hasBufferedInput() {
 		return true
@@ -63,13 +63,14 @@
 	c.beginIdle()
 	state := c.socket.awaitReadable()
 	c.endIdle()
-	if state == notReadable { // this goroutine may have been scheduled after both the bytes and the deadline
+	// If this goroutine was scheduled late, bytes may have arrived before the deadline passed.
+	if state == notReadable {
 		state = c.socket.readState()
 	}
 	return state == readable
 }
 
-// beginIdle sets how long the client may take to send its next request, and lets closeIfIdle end that time.
+// beginIdle sets the deadline for the first byte of the next request, and lets closeIfIdle end the wait.
 func (c *client) beginIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +89,8 @@
 	c.socket.SetReadDeadline(time.Time{})
 }
 
-// closeIfIdle ends the connection if no byte of a request has arrived. Any goroutine may call it.
+// closeIfIdle ends the connection if it waits for a request of which no byte has arrived. It may be called
+// from any goroutine.
 func (c *client) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +99,8 @@
 	}
 }
 
-// abortRequest aborts the calls of the request in flight; the client gets a response. Any goroutine may call
-// it.
+// abortRequest aborts the calls of the request in flight; the client still gets a response. It may be called
+// from any goroutine.
 func (c *client) abortRequest() {
 	c.mu.Lock()
 	rt := c.roundTrip
@@ -108,7 +110,7 @@
 	}
 }
 
-// serveRequest reads one request and answers it. It reports whether the connection goes on.
+// serveRequest reads one request and answers it. It reports whether the connection stays open.
 func (c *client) serveRequest() bool {
 	defer c.releaseBody()
 	c.responses = 0
@@ -128,7 +130,7 @@
 	return c.answer(request)
 }
 
-// releaseBody returns what the request took of the budget of bodies.
+// releaseBody returns the bytes that the request has reserved to the body budget.
 func (c *client) releaseBody() {
 	c.proxy.bodies.Release(c.reservedBytes)
 	c.reservedBytes = 0
@@ -136,7 +138,7 @@
 	invariant.Assert(used >= 0, invariant.CountsNotNegative, "bodies take %d bytes", used)
 }
 
-// answer answers a request that was read completely. It reports whether the connection goes on.
+// answer answers a request that was read completely. It reports whether the connection stays open.
 func (c *client) answer(req *request) bool {
 	c.socket.SetWriteDeadline(req.writeDeadline())
 	switch {
@@ -156,7 +158,7 @@
 	return rt.keepAlive
 }
 
-// setRoundTrip sets what abortRequest stops.
+// setRoundTrip sets the round trip that abortRequest stops, nil for none.
 func (c *client) setRoundTrip(rt *roundTrip) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/router/dataplane/conclude.go
+++ b/internal/router/dataplane/conclude.go
@@ -7,13 +7,14 @@
 	"cresshub/internal/http1"
 )
 
-// The bounds of the Retry-After of a local reply.
+// Bounds of the Retry-After field of a local reply.
 const (
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = time.Second
 )
 
-// conclude ends the response to the client: with a response of its own if no server has begun one.
+// conclude ends the response to the client and records the outcome of the request. If no response has begun
+// and the client is still connected, it forwards the last server error or sends a local reply.
 func (rt *roundTrip) conclude() {
 	counters := &rt.proxy.counters
 	switch {
@@ -38,8 +39,8 @@
 	}
 }
 
-// truncate makes sure that an incomplete response does not look complete: where only the end of the
-// connection ends it, the connection is reset.
+// truncate makes sure that an incomplete response does not look complete. For an HTTP/1.0 client only the end
+// of the connection marks the end of a streamed response, so the connection is reset.
 func (rt *roundTrip) truncate() {
 	rt.client.truncated = true
 	if conn, ok := rt.client.socket.NetConn().(*net.TCPConn); ok && rt.request.HTTP10 {
@@ -47,7 +48,7 @@
 	}
 }
 
-// finalReply is the proxy's own response where nothing more is tried.
+// finalReply returns the local reply to a request for which no further attempt is made.
 func (rt *roundTrip) finalReply() *localReplyError {
 	late := rt.timeLeft() < minTimeLeft || rt.stopReason() == proxyStopping
 	switch finalStatus(rt.worstExecution, late) {
@@ -62,8 +63,8 @@
 		remedy: "the server broke off, and the request may have run; look before sending it again"}
 }
 
-// finalStatus is the status of the proxy's own response where nothing more is tried. 503 promises that the
-// request has not run and never will; 502 and 504 promise nothing.
+// finalStatus returns the status of the local reply to a request for which no further attempt is made. 503
+// guarantees that the request has not run and never will; 502 and 504 guarantee nothing.
 func finalStatus(worst execution, late bool) int {
 	switch {
 	case worst != mayHaveRun:
@@ -74,7 +75,8 @@
 	return http1.StatusBadGateway
 }
 
-// retryAfter is the time after which a server is expected to have a free slot.
+// retryAfter returns the time after which a server is expected to have a free slot, within the bounds of
+// Retry-After.
 func (rt *roundTrip) retryAfter() time.Duration {
 	delay := rt.proxy.chooser.queueDelay(&rt.request.scheduling)
 	return min(max(delay.Wait, minRetryAfter), maxRetryAfter)
--- a/internal/router/dataplane/configchange_test.go
+++ b/internal/router/dataplane/configchange_test.go
@@ -25,8 +25,8 @@
 	s.table = table
 }
 
-// heldUntil has a handler respond once released closes. began gets a value for each request that waits.
-func heldUntil(released chan struct{}, began chan<- struct{}, respond handler) handler {
+// respondAfter has a handler respond once released closes. began gets a value for each request that waits.
+func respondAfter(released chan struct{}, began chan<- struct{}, respond handler) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		began <- struct{}{}
 		<-released
@@ -34,9 +34,9 @@
 	}
 }
 
-// beginsUntil has a handler send the head and the first event of a stream of two, and the other one once
+// startStreamUntil has a handler send the head and the first event of a stream of two, and the other one once
 // released closes.
-func beginsUntil(released chan struct{}, began chan<- struct{}) handler {
+func startStreamUntil(released chan struct{}, began chan<- struct{}) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(req, "s")+chunk(eventText(1)))
 		began <- struct{}{}
@@ -72,12 +72,12 @@
 		body        string
 	}{
 		{"a lookup", "safe", func(released chan struct{}, began chan<- struct{}) handler {
-			return heldUntil(released, began, respondOK("x"))
+			return respondAfter(released, began, respondOK("x"))
 		}, "x"},
 		{"a command", "unsafe", func(released chan struct{}, began chan<- struct{}) handler {
-			return heldUntil(released, began, respondOK("x"))
+			return respondAfter(released, began, respondOK("x"))
 		}, "x"},
-		{"a stream", "firm", beginsUntil, eventsText(1, 2)},
+		{"a stream", "firm", startStreamUntil, eventsText(1, 2)},
 	} {
 		for _, change := range changes {
 			t.Run(kind.name+", "+change.name, func(t *testing.T) {
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -39,8 +39,8 @@
 			t.Parallel()
 			servers := newLookupServers(t, inTurn(test.first, test.second))
 			rig := newRig(t, nil, servers...)
-			rig.useResponseMinimum(test.route)
-			rig.useStreamMinimum(test.route)
+			rig.useMinResponseTimeout(test.route)
+			rig.useMinStreamTimeout(test.route)
 			response := rig.dial().do("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: 15000")
 			rig.Assert(response.Status, qt.Equals, 200)
 			calls := allReceived(servers)
@@ -62,7 +62,7 @@
 	for _, read := range []handler{respondHandle("h"), neverAnswer(ended), rejectFull} {
 		prefillers, decoders := newModelServers(t, inTurn(read, respondHandle("h")), streamEvents(1, 3, true))
 		rig := newRig(t, nil, append(prefillers, decoders...)...)
-		rig.usePrefillMinimum()
+		rig.useMinPrefillTimeout()
 		response := rig.dial().do("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 15000")
 		rig.Assert(response.Status, qt.Equals, 200)
 		before := 15000
@@ -111,7 +111,7 @@
 				rig := newRig(t, nil, server, reader, writer)
 				var got clientResult
 				timesOut := []*fakeServer{server, writer}
-				rig.untilReceived(200*time.Millisecond, timesOut, func(timeout time.Duration) int {
+				rig.retryUntilReceived(200*time.Millisecond, timesOut, func(timeout time.Duration) int {
 					rig.route(route).Timeout = timeout
 					client := rig.dial()
 					client.send("POST", "/"+route+"/", "a", "", "Cresshub-Deadline-Ms: 60000")
--- a/internal/router/dataplane/demand.go
+++ b/internal/router/dataplane/demand.go
@@ -7,37 +7,37 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// demandGain is the weight of the newest window in the mean that Demands returns.
+// demandGain is the weight of the newest window in the exponential moving average that Demands returns.
 const demandGain = 0.15
 
-// Demand is how many calls this proxy has in flight at a service with model servers, as a mean over the
-// last seconds.
+// Demand is how many calls this proxy has in flight at a service with model servers, as a moving average over
+// the last seconds.
 type Demand struct {
 	Service  string
-	Prefill  float64 // calls that prefill a prompt, waiting ones included
-	Decode   float64 // calls that decode
-	Observed bool    // there have been requests
+	Prefill  float64 // calls that prefill a prompt, including those queued at their server
+	Decode   float64 // calls that decode, including those that prefill as well
+	Observed bool    // calls have been made to the service
 }
 
-// demandMeter follows the number of calls in flight. It is safe for concurrent use.
+// demandMeter measures the number of calls in flight, by service. It is safe for concurrent use.
 type demandMeter struct {
 	mu       sync.Mutex
 	services map[string]*meteredService
 }
 
-// meteredService integrates the calls in flight of a service over time.
+// meteredService integrates a service's calls in flight over time.
 type meteredService struct {
-	prefilling, decoding            int
-	integratedUntil                 time.Duration // up to when the integrals go
+	prefilling, decoding            int           // calls in flight now
+	integratedUntil                 time.Duration // when the integrals were last updated
 	windowStart                     time.Duration
-	prefillIntegral, decodeIntegral float64 // calls times seconds since windowStart
+	prefillIntegral, decodeIntegral float64 // call-seconds since windowStart
 	mean                            Demand
 }
 
 func newDemandMeter() *demandMeter { return &demandMeter{services: map[string]*meteredService{}} }
 
-// add records that a call of a role has begun, or ended where change is -1.
-func (m *demandMeter) add(now time.Duration, service string, role scheduler.Role, change int) {
+// add adds delta to the calls in flight in a role: 1 when a call begins, -1 when it ends.
+func (m *demandMeter) add(now time.Duration, service string, role scheduler.Role, delta int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	metered := m.services[service]
@@ -48,12 +48,13 @@
 	metered.integrate(now)
 	metered.mean.Observed = true
 	if role == scheduler.Prefill {
-		metered.prefilling += change
+		metered.prefilling += delta
 	} else {
-		metered.decoding += change
+		metered.decoding += delta
 	}
 }
 
+// integrate extends the integrals up to now.
 func (s *meteredService) integrate(now time.Duration) {
 	seconds := (now - s.integratedUntil).Seconds()
 	s.prefillIntegral += seconds * float64(s.prefilling)
@@ -61,7 +62,7 @@
 	s.integratedUntil = now
 }
 
-// demands ends a window and returns the means.
+// demands ends the current window, updates the moving averages and returns them.
 func (m *demandMeter) demands(now time.Duration) []Demand {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,6 +79,6 @@
 	return all
 }
 
-// Demands returns the demand at each service with model servers. It is to be called by one goroutine at
-// regular intervals, because each call ends the window of the means.
+// Demands returns the demand at each service with model servers. It must be called by one goroutine, at
+// regular intervals, because each call ends a window of the moving averages.
 func (p *Proxy) Demands() []Demand { return p.chooser.demandMeter.demands(p.now()) }
--- a/internal/router/dataplane/descriptors_test.go
+++ b/internal/router/dataplane/descriptors_test.go
@@ -14,7 +14,7 @@
 	for _, descriptors := range []int{600, 1024, 4100, 65536} {
 		proxy := &Proxy{settings: &agentsettings.Settings{Descriptors: descriptors}}
 		left := descriptors - reservedDescriptors - 2*proxy.connectionLimit()
-		qt.Check(t, left >= (descriptors-reservedDescriptors)/controlDivisor, qt.IsTrue,
+		qt.Check(t, left >= (descriptors-reservedDescriptors)/controlDescriptorDivisor, qt.IsTrue,
 			qt.Commentf("%d of %d are left", left, descriptors))
 	}
 }
--- a/internal/router/dataplane/disconnect.go
+++ b/internal/router/dataplane/disconnect.go
@@ -4,19 +4,19 @@
 	"time"
 )
 
-// pollInterval is how often a client is polled whose next request has arrived already: a read would return
-// those bytes before it reports the disconnect.
+// pollInterval is how often a client is polled for a disconnect if bytes of its next request have arrived
+// already: a read would return those bytes before it reports the disconnect.
 const pollInterval = 100 * time.Millisecond
 
-// disconnectWatcher notices that a client disconnects while its request is in flight.
+// disconnectWatcher detects that a client disconnects while its request is in flight.
 type disconnectWatcher struct {
 	socket   *socket
-	stopping chan struct{} // closed when the watch is to end
-	done     chan struct{} // closed when it has ended
+	stopping chan struct{} // closed to end the watch
+	done     chan struct{} // closed when the watch has ended
 }
 
-// watchDisconnect calls onDisconnect once when the client ends its sending or the connection breaks. It
-// takes nothing out of the connection.
+// watchDisconnect starts a goroutine that calls onDisconnect once when the client half-closes the connection
+// or the connection breaks. It consumes no bytes of the connection.
 func watchDisconnect(socket *socket, onDisconnect func()) *disconnectWatcher {
 	watcher := &disconnectWatcher{socket: socket, stopping: make(chan struct{}), done: make(chan struct{})}
 	socket.SetReadDeadline(time.Time{})
@@ -29,7 +29,8 @@
 	return watcher
 }
 
-// awaitDisconnect waits until the client disconnects, and returns true, or until the watch is stopped.
+// awaitDisconnect waits until the client disconnects, and then returns true, or until the watch is stopped,
+// and then returns false.
 func (w *disconnectWatcher) awaitDisconnect() bool {
 	if !w.socket.hasBufferedInput() {
 		if state := w.socket.awaitReadable(); state != readable {
@@ -48,7 +49,7 @@
 	return true
 }
 
-// stop ends the watch. Once it has returned onDisconnect is not called any more.
+// stop ends the watch. After it has returned, onDisconnect is not called any more.
 func (w *disconnectWatcher) stop() {
 	close(w.stopping)
 	w.socket.Wake()
--- a/internal/router/dataplane/disconnect_test.go
+++ b/internal/router/dataplane/disconnect_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// fullListener returns the address of a listener that accepts no further connection.
-func fullListener(t *testing.T) string {
+// newFullListener returns the address of a listener that accepts no further connection.
+func newFullListener(t *testing.T) string {
 	t.Helper()
 	c := qt.New(t)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -121,7 +121,7 @@
 // as this process was not scheduled meanwhile, proves nothing: the server is unreachable by then.
 func TestClientDisconnectsWhileAServerIsDialled(t *testing.T) {
 	stuck := &fakeServer{Server: &catalog.Server{ID: "i-1", Service: "lookup", State: catalog.Ready}}
-	stuck.Address = fullListener(t)
+	stuck.Address = newFullListener(t)
 	for end, inTime := time.Now().Add(testTimeout), false; !inTime; {
 		qt.Assert(t, time.Now().Before(end), qt.IsTrue, qt.Commentf("no disconnect is noticed in time"))
 		inTime = disconnectsWhileDialled(t, stuck)
@@ -138,7 +138,7 @@
 	client := rig.dial()
 	began := time.Now()
 	client.send("POST", "/safe/", "a", "")
-	rig.eventually("it is dialled", func() bool { return rig.chooser.begun() > 0 })
+	rig.eventually("it is dialled", func() bool { return rig.chooser.callsBegun() > 0 })
 	client.Close()
 	closedAfter := time.Since(began)
 	rig.eventually("the client is removed", func() bool { return len(rig.proxy.connectedClients()) == 0 })
--- a/internal/router/dataplane/drain.go
+++ b/internal/router/dataplane/drain.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// drainIdleGrace is how long after the start of a drain idle clients stay connected, as their requests
-	// may be on the way.
+	// drainIdleGrace is how long idle clients stay connected after the start of a drain, because requests of
+	// theirs may be in transit.
 	drainIdleGrace = 300 * time.Millisecond
-	// drainAcceptTime is how long after the start of a drain requests are still forwarded. Clients that
-	// connect last, until the listener closes, have sent theirs by then; what takes longer than the rest of
-	// the drain would be aborted.
+	// drainAcceptTime is how long after the start of a drain requests are still forwarded. By then the clients
+	// that connected just before the listener closed have sent their requests. A request forwarded later would
+	// be aborted if it took longer than the rest of the drain.
 	drainAcceptTime = 2700 * time.Millisecond
 )
 
-// Drain makes every further response the last of its connection, and closes idle connections a little
-// later. New connections and requests are still served.
+// Drain starts a drain: every further response is the last one on its connection, and idle connections are
+// closed after drainIdleGrace. New connections are still accepted, and requests are forwarded until
+// drainAcceptTime is over.
 func (p *Proxy) Drain() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,9 +26,10 @@
 	time.AfterFunc(drainIdleGrace, p.closeIdle)
 }
 
-// idleDeadline is when a client that is idle now is closed in a drain. Late in it that is at once, unless
-// the client has sent no request yet: a response whose head was sent before the drain did not say that it
-// is the last one of its connection.
+// idleDeadline returns when a client that is idle now is closed in a drain. After drainAcceptTime a client
+// that has sent a request before is closed at once: the head of its last response was sent before the drain
+// and did not announce the end of the connection. A client that has sent no request yet is closed after
+// drainIdleGrace.
 func (p *Proxy) idleDeadline(hadRequest bool) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +44,7 @@
 	return now.Add(drainIdleGrace)
 }
 
-// rejectsInDrain reports whether a request that arrives now is no longer forwarded.
+// rejectsInDrain reports whether a request that arrives now is rejected because of a drain.
 func (p *Proxy) rejectsInDrain() bool {
 	if !p.draining.Load() {
 		return false
@@ -68,8 +70,8 @@
 	return all
 }
 
-// Wait returns once no client is connected, or at the deadline. Requests that are still in flight at
-// abortAt are aborted at their servers, so that their clients get a response.
+// Wait returns when no client is connected any more, or at the deadline. Calls of requests that are still in
+// flight at abortAt are aborted, so that the clients get a response.
 func (p *Proxy) Wait(abortAt, deadline time.Time) {
 	abort := time.NewTimer(time.Until(abortAt))
 	defer abort.Stop()
--- a/internal/router/dataplane/drain_test.go
+++ b/internal/router/dataplane/drain_test.go
@@ -107,8 +107,8 @@
 	_, err := idle.in.ReadByte() // it is closed after a little while, without a request
 	rig.Assert(err, qt.Equals, io.EOF)
 
-	rig.drainLate(-testTimeout) // neither of them is late, however busy the machine is
-	late := rig.dial()          // the listener is still there
+	rig.backdateDrain(-testTimeout) // neither of them is late, however busy the machine is
+	late := rig.dial()              // the listener is still there
 	late.send("POST", "/unsafe/", "c", "")
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
 	rig.eventually("they came", func() bool { return len(server.got()) == 3 })
@@ -120,21 +120,21 @@
 		rig.Assert(string(response.Body), qt.Equals, "done")
 		rig.Assert(response.Close, qt.IsTrue)
 	}
-	rig.awaitEmpty()
+	rig.awaitNoClients()
 	rig.Assert(rig.proxy.connectedClients(), qt.HasLen, 0)
 }
 
-// awaitEmpty waits until every client has disconnected.
-func (r *testRig) awaitEmpty() {
+// awaitNoClients waits until every client has disconnected.
+func (r *testRig) awaitNoClients() {
 	r.Helper()
 	end := time.Now().Add(testTimeout)
 	r.proxy.Wait(end, end)
 	r.Assert(r.proxy.connectedClients(), qt.HasLen, 0)
 }
 
-// drainLate begins a drain, unless it has begun, and lets it look as if it had begun that long ago; less than
+// backdateDrain begins a drain, unless it has begun, and lets it look as if it had begun that long ago; less than
 // 0 is a moment to come.
-func (r *testRig) drainLate(ago time.Duration) {
+func (r *testRig) backdateDrain(ago time.Duration) {
 	r.proxy.Drain()
 	r.proxy.mu.Lock()
 	defer r.proxy.mu.Unlock()
@@ -149,14 +149,14 @@
 	slow := rig.dial()
 	io.WriteString(slow, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\nContent-Le")
 	rig.eventually("it is there", func() bool { return len(rig.proxy.connectedClients()) == 1 })
-	rig.drainLate(drainAcceptTime + time.Millisecond)
+	rig.backdateDrain(drainAcceptTime + time.Millisecond)
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
 	response, err := slow.read()
 	rig.Assert(err, qt.IsNil)
 	rig.Assert(response.Status, qt.Equals, 503)
 	rig.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 	rig.Assert(response.Close, qt.IsTrue)
-	rig.awaitEmpty()
+	rig.awaitNoClients()
 	rig.Assert(server.got(), qt.HasLen, 0)
 }
 
@@ -174,7 +174,7 @@
 	client := rig.dial()
 	client.send("POST", "/stream/", "a", "")
 	rig.eventually("its first event has passed", func() bool { _, err := client.in.Peek(1); return err == nil })
-	rig.drainLate(drainAcceptTime + time.Millisecond)
+	rig.backdateDrain(drainAcceptTime + time.Millisecond)
 	close(proceed)
 	response, err := client.read()
 	rig.Assert(err, qt.IsNil)
@@ -183,7 +183,7 @@
 	if response, err := client.read(); err == nil {
 		rig.Assert(response.Status, qt.Equals, 503)
 	}
-	rig.awaitEmpty()
+	rig.awaitNoClients()
 	rig.Assert(server.got(), qt.HasLen, 1)
 }
 
@@ -224,7 +224,7 @@
 			rig.Assert(err, qt.Equals, io.EOF)
 		}
 		client.Close()
-		rig.awaitEmpty()
+		rig.awaitNoClients()
 	}
 }
 
@@ -287,12 +287,12 @@
 func TestPanicEndsOneConnectionOnly(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, nil, server)
-	rig.chooser.panics.Store(true)
+	rig.chooser.panicsInChoose.Store(true)
 	client := rig.dial()
 	client.send("POST", "/unsafe/", "a", "")
 	_, err := client.read()
 	rig.Assert(err, qt.Not(qt.IsNil))
-	rig.chooser.panics.Store(false)
+	rig.chooser.panicsInChoose.Store(false)
 	rig.Assert(rig.dial().do("POST", "/unsafe/", "b", "").Status, qt.Equals, 200)
 	rig.eventually("the connection is removed", func() bool { return len(rig.proxy.connectedClients()) == 1 })
 }
@@ -334,7 +334,7 @@
 			<-halfWay
 		}
 		rig.listener.Close()
-		rig.awaitEmpty()
+		rig.awaitNoClients()
 		wg.Wait()
 		close(answered)
 		got := map[string]bool{}
--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -13,21 +13,21 @@
 // fakeChooser chooses the first server in the table that is not excluded, and records what is reported to
 // it. The lock of lockedChooser guards all but what tests read.
 type fakeChooser struct {
-	mu            sync.Mutex
-	table         *catalog.Table
-	noSplit       bool
-	wait          time.Duration
-	open          map[*scheduler.Call]bool // calls in flight
-	outcomesEnded []scheduler.Outcome
-	unpaired      int // calls ended twice, or never begun
-	firstEvents   int
-	loads         []scheduler.Load
-	panics        atomic.Bool
-	// panicsInCalls has it panic while a call is in flight.
-	panicsInCalls atomic.Bool
+	mu             sync.Mutex
+	table          *catalog.Table
+	noSplit        bool
+	queueDelay     time.Duration
+	inFlight       map[*scheduler.Call]bool // calls in flight
+	endedOutcomes  []scheduler.Outcome
+	unmatchedDones int // calls ended twice, or never begun
+	firstEvents    int
+	loads          []scheduler.Load
+	panicsInChoose atomic.Bool
+	// panicsInObserveLoad has it panic while a call is in flight.
+	panicsInObserveLoad atomic.Bool
 }
 
-func newFakeChooser() *fakeChooser { return &fakeChooser{open: map[*scheduler.Call]bool{}} }
+func newFakeChooser() *fakeChooser { return &fakeChooser{inFlight: map[*scheduler.Call]bool{}} }
 
 func (f *fakeChooser) Update(_ time.Duration, table *catalog.Table) { f.table = table }
 
@@ -37,7 +37,7 @@
 
 func (f *fakeChooser) Choose(_ time.Duration, req *scheduler.Request, role scheduler.Role,
 	prefillServer *catalog.Server) *scheduler.Call {
-	if f.panics.Load() {
+	if f.panicsInChoose.Load() {
 		panic("a mistake")
 	}
 	stage := catalog.NoRole
@@ -54,7 +54,7 @@
 	call := &scheduler.Call{Server: server, Role: role}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.open[call] = true
+	f.inFlight[call] = true
 	return call
 }
 
@@ -69,7 +69,7 @@
 }
 
 func (f *fakeChooser) ObserveLoad(_ time.Duration, _ string, load scheduler.Load) {
-	if f.panicsInCalls.Load() {
+	if f.panicsInObserveLoad.Load() {
 		panic("a mistake")
 	}
 	f.mu.Lock()
@@ -90,15 +90,15 @@
 func (f *fakeChooser) Done(_ time.Duration, call *scheduler.Call, outcome scheduler.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.open[call] {
-		f.unpaired++
+	if !f.inFlight[call] {
+		f.unmatchedDones++
 	}
-	delete(f.open, call)
-	f.outcomesEnded = append(f.outcomesEnded, outcome)
+	delete(f.inFlight, call)
+	f.endedOutcomes = append(f.endedOutcomes, outcome)
 }
 
 func (f *fakeChooser) QueueDelay(time.Duration, *scheduler.Request) scheduler.SlotDelay {
-	return scheduler.SlotDelay{Wait: f.wait, HasFreeSlot: f.wait == 0}
+	return scheduler.SlotDelay{Wait: f.queueDelay, HasFreeSlot: f.queueDelay == 0}
 }
 
 func (f *fakeChooser) Alternative(
@@ -108,28 +108,28 @@
 	for _, s := range f.table.Service(req.Service.Name) {
 		exists = exists || s.ID != serverID && s.Role != catalog.Prefill && !slices.Contains(req.Excluded, s.ID)
 	}
-	return scheduler.Alternative{Exists: exists, HasFreeSlot: exists && f.wait == 0}
+	return scheduler.Alternative{Exists: exists, HasFreeSlot: exists && f.queueDelay == 0}
 }
 
 // outcomes returns how the calls have ended, in their order.
 func (f *fakeChooser) outcomes() []scheduler.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.outcomesEnded)
+	return slices.Clone(f.endedOutcomes)
 }
 
-// begun is how many calls have begun so far.
-func (f *fakeChooser) begun() int {
+// callsBegun is how many calls have begun so far.
+func (f *fakeChooser) callsBegun() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.open) + len(f.outcomesEnded) - f.unpaired
+	return len(f.inFlight) + len(f.endedOutcomes) - f.unmatchedDones
 }
 
-// paired reports whether each call has ended once.
-func (f *fakeChooser) paired() bool {
+// allCallsEndedOnce reports whether each call has ended once.
+func (f *fakeChooser) allCallsEndedOnce() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.open) == 0 && f.unpaired == 0
+	return len(f.inFlight) == 0 && f.unmatchedDones == 0
 }
 
 func (f *fakeChooser) TakeInFlightLoads(scheduler.LoadScope) []scheduler.InFlightLoad { return nil }
--- a/internal/router/dataplane/headers.go
+++ b/internal/router/dataplane/headers.go
@@ -11,20 +11,20 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// Header fields that clients may set. The first is in responses too, which thereby name their request.
+// Header fields that clients may set. Responses carry tryIDHeader too, to identify their request.
 const (
-	tryIDHeader     = "Cresshub-Try-Id"        // the client's id of this attempt
-	deadlineHeader  = "Cresshub-Deadline-Ms"   // the time that the sender waits, set anew for each call
-	lastEventHeader = "Last-Event-Id"          // of the last event of a stream that the client has
-	modelHeader     = "Cresshub-Model"         // read by model servers only
-	tokensHeader    = "Cresshub-Tokens"        // of the prompt and of the output, as "1460,200"
-	prefixHeader    = "Cresshub-Prompt-Prefix" // segments of the prompt that others share, as "id:tokens,..."
+	tryIDHeader     = "Cresshub-Try-Id"        // the client's ID of this attempt
+	deadlineHeader  = "Cresshub-Deadline-Ms"   // how long the sender waits; set anew for each call
+	lastEventHeader = "Last-Event-Id"          // ID of the last event of a stream that the client has
+	modelHeader     = "Cresshub-Model"         // read only by model servers
+	tokensHeader    = "Cresshub-Tokens"        // token counts of the prompt and the output, as "1460,200"
+	prefixHeader    = "Cresshub-Prompt-Prefix" // prompt segments shared with other requests, as "id:tokens,..."
 )
 
 // Header fields that only the proxy may set, in calls to servers.
 const (
-	expectServerHeader  = "Cresshub-Expect-Server" // the incarnation that is meant
-	priorityHeader      = "Priority"               // at a model server, 0 is the first
+	expectServerHeader  = "Cresshub-Expect-Server" // ID of the incarnation that the call is meant for
+	priorityHeader      = "Priority"               // at a model server; 0 is served first
 	stageHeader         = "Cresshub-Stage"         // prefillStage in a prefill call
 	kvFromHeader        = "Kv-From"                // where to fetch the prefix cache (kvHandle.source)
 	expectVersionHeader = "Expect-Version"         // never set: a server of another version rejects the request
@@ -33,12 +33,13 @@
 
 // Header fields of responses of servers.
 const (
-	stampHeader  = "Cresshub-Server-Stamp" // names the run of the request; every success has it
+	stampHeader  = "Cresshub-Server-Stamp" // identifies the run of the request; every success carries it
 	notRunHeader = "Cresshub-Not-Run"      // the server did not run the request
 	loadHeader   = "Cresshub-Server-Load"  // running and waiting requests, and slots, as "3,0,8"
 )
 
-// parseDeadline reads// parseDeadline reads Cresshub-Deadline-Ms.
+// parseDeadline parses Cresshub-Deadline-Ms. It returns false for anything but a number of milliseconds from 0
+// to maxDeadline.
 func parseDeadline(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
@@ -47,8 +48,8 @@
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// schedulingRequest reads what the scheduler needs of a request's header. What cannot be parsed is left
-// out.
+// schedulingRequest returns what the scheduler needs to know of a request, parsed from its header. Fields that
+// cannot be parsed are left out.
 func schedulingRequest(header http1.Header, service *fleetconfig.Service) scheduler.Request {
 	req := scheduler.Request{Service: service}
 	in, out, _ := strings.Cut(header.Get(tokensHeader), ",")
@@ -69,7 +70,7 @@
 	return req
 }
 
-// parseCount returns a number, 0 for what is none or negative.
+// parseCount parses a number. It returns 0 for a negative number or anything else.
 func parseCount(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
@@ -78,7 +79,7 @@
 	return n
 }
 
-// parseLoad reads Cresshub-Server-Load.
+// parseLoad parses Cresshub-Server-Load.
 func parseLoad(text string) (scheduler.Load, bool) {
 	var numbers [3]int
 	parts := strings.Split(text, ",")
@@ -95,17 +96,17 @@
 	return scheduler.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// reservedFields are the fields that only the proxy may set; those of a client are dropped. With them a
-// client could have its prompt prefilled instead of answered, use another client's prefix cache, raise its
-// priority, or be rejected by every server at the expense of the retry budget.
+// reservedFields are the fields of a client's request that are not forwarded. The deadline is replaced for each
+// call. With the others, a client could have its prompt prefilled instead of answered, use another client's
+// prefix cache, raise its priority, or be rejected by every server at the expense of the retry budget.
 var reservedFields = []string{deadlineHeader, expectServerHeader, stageHeader, kvFromHeader, priorityHeader,
 	expectVersionHeader}
 
-// protectedFields are the fields that are forwarded even if a client's Connection field names them: without
-// one of them the server would run another request than the client's.
+// protectedFields are the fields that are forwarded even if a client's Connection field lists them as
+// hop-by-hop: without one of them the server would run a different request than the client sent.
 var protectedFields = []string{"Host", tryIDHeader, lastEventHeader, modelHeader, tokensHeader, prefixHeader}
 
-// forwardedHeader returns the fields that every call of the request carries.
+// forwardedHeader returns the client's fields that every call of the request carries.
 func (r *request) forwardedHeader() http1.Header {
 	header := r.Header
 	if !plainConnection(header.Get("Connection")) {
@@ -119,7 +120,7 @@
 	return header.EndToEnd(reservedFields...)
 }
 
-// plainConnection reports whether a Connection field names no other field.
+// plainConnection reports whether a Connection field lists no other field.
 func plainConnection(value string) bool {
 	return value == "" || strings.EqualFold(value, "close") || strings.EqualFold(value, "keep-alive")
 }
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	// handlePath and the handle are the target of the call that releases it.
+	// handlePath, followed by the handle, is the path of the call that releases it.
 	handlePath = "/api/kv-handle/"
-	// handleLifetimeUsed is the fraction of a handle's lifetime after which it is not used any more.
-	handleLifetimeUsed = 0.8
-	// The bounds of the calls that release handles.
-	maxReleases    = 16
-	releaseTimeout = time.Second
+	// handleLifetimeFraction is the fraction of its lifetime for which a handle is used.
+	handleLifetimeFraction = 0.8
+	// Bounds of the calls that release handles.
+	maxConcurrentReleases = 16
+	releaseTimeout        = time.Second
 )
 
-// kvHandle names the prefix cache of a prompt at the server that has prefilled it. It is used for its own
-// request alone.
+// kvHandle identifies the prefix cache of a prompt at the server that has prefilled it. It is used only for the
+// request whose prompt it is.
 type kvHandle struct {
 	server    *catalog.Server
 	id        string
-	expiresAt time.Time // the zero time where it does not expire
-	tryID     string    // of the request whose prompt it names
+	expiresAt time.Time // when it is not used any more; the zero time if it does not expire
+	tryID     string    // of the request that the prompt belongs to
 }
 
-// newKVHandle returns a handle that is used for the first handleLifetimeUsed of its lifetime; a lifetime of 0
-// never ends.
+// newKVHandle returns a handle that expires after handleLifetimeFraction of its lifetime at the server. A
+// lifetime of 0 means that it does not expire.
 func newKVHandle(server *catalog.Server, id, tryID string, lifetime time.Duration) *kvHandle {
 	handle := &kvHandle{server: server, id: id, tryID: tryID}
 	if lifetime > 0 {
-		handle.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeUsed))
+		handle.expiresAt = time.Now().Add(time.Duration(float64(lifetime) * handleLifetimeFraction))
 	}
 	return handle
 }
 
-// prefillServer is the server that has the prefix cache, nil for no handle.
+// prefillServer returns the server that holds the prefix cache, nil for a nil handle.
 func (h *kvHandle) prefillServer() *catalog.Server {
 	if h == nil {
 		return nil
@@ -50,27 +50,28 @@
 	return h.server
 }
 
-// source is the handle as the decode server gets it in Kv-From.
+// source returns the handle as it is sent to the decode server in Kv-From.
 func (h *kvHandle) source() string { return h.server.Address + "/" + h.id }
 
 func (h *kvHandle) expired(now time.Time) bool {
 	return h != nil && !h.expiresAt.IsZero() && now.After(h.expiresAt)
 }
 
-// parseHandle reads the response of a server that has prefilled a prompt. It returns false for a handle
-// that does not fit into a header field and a path.
+// parseHandle returns the handle in the response body of a server that has prefilled a prompt. It returns false
+// if there is none, or if it has characters that do not fit into a header field or a path segment.
 func parseHandle(body []byte) (string, bool) {
-	var answer struct {
+	var response struct {
 		Handle string `json:"claim_ticket"`
 	}
-	if json.Unmarshal(body, &answer) != nil || answer.Handle == "" {
+	if json.Unmarshal(body, &response) != nil || response.Handle == "" {
 		return "", false
 	}
-	odd := func(char rune) bool { return char <= ' ' || char > '~' || char == '/' }
-	return answer.Handle, !strings.ContainsFunc(answer.Handle, odd)
+	isForbidden := func(char rune) bool { return char <= ' ' || char > '~' || char == '/' }
+	return response.Handle, !strings.ContainsFunc(response.Handle, isForbidden)
 }
 
-// releaseHandle has the prefill server free the prefix cache, which the request does not use any more.
+// releaseHandle has the prefill server free the prefix cache that the request does not use any more, if there
+// is one.
 func (rt *roundTrip) releaseHandle() {
 	if rt.handle == nil {
 		return
@@ -79,15 +80,15 @@
 	rt.handle = nil
 }
 
-// handleReleaser has servers free prefix caches in the background. When it is busy handles are left to
-// expire.
+// handleReleaser has servers free prefix caches in the background. While maxConcurrentReleases calls are in
+// flight, further handles are left to expire.
 type handleReleaser struct {
 	pool  *pool
 	slots chan struct{}
 }
 
 func newHandleReleaser(pool *pool) *handleReleaser {
-	return &handleReleaser{pool: pool, slots: make(chan struct{}, maxReleases)}
+	return &handleReleaser{pool: pool, slots: make(chan struct{}, maxConcurrentReleases)}
 }
 
 func (r *handleReleaser) release(handle *kvHandle) {
@@ -102,7 +103,7 @@
 	}()
 }
 
-// delete makes the call. Nothing depends on its result.
+// delete makes the call that releases a handle. Its result is ignored: a handle that is not released expires.
 func (r *handleReleaser) delete(handle *kvHandle) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
@@ -119,11 +120,11 @@
 	r.pool.put(conn, keepAlive)
 }
 
-// errReleaseNotRead means that the response to the release of a handle was not read to its end.
-var errReleaseNotRead = errors.New("the response is too large, or was broken off")
+// errReleaseResponseIncomplete means that the response to the release of a handle was not read to its end.
+var errReleaseResponseIncomplete = errors.New("the response to a handle's release is too large or incomplete")
 
-// exchangeRelease sends the call and reads its response. It returns how long the connection may stay idle; an
-// error means that it must not be used again.
+// exchangeRelease sends the call that releases a handle and reads its response. It returns how long the
+// connection may stay idle; after an error the connection must not be used again.
 func exchangeRelease(conn *connection, handle *kvHandle) (keepAlive time.Duration, err error) {
 	host, _, _ := net.SplitHostPort(handle.server.Address)
 	message := http1.Request{Method: "DELETE", Target: handlePath + handle.id, Header: http1.Header{
@@ -140,7 +141,7 @@
 		return 0, err
 	}
 	if _, err := io.CopyN(io.Discard, body, maxBufferedResponse); !errors.Is(err, io.EOF) {
-		return 0, errReleaseNotRead
+		return 0, errReleaseResponseIncomplete
 	}
 	return keepAliveTime(head), nil
 }
--- a/internal/router/dataplane/linger.go
+++ b/internal/router/dataplane/linger.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	// lingerTime and lingerBytes bound what is read of a client after the response to a request that was
-	// not read completely: closing at once would reset the connection, and the response with it.
-	lingerTime  = 250 * time.Millisecond
-	lingerBytes = 256 << 10
+	// maxLingerTime and maxLingerBytes bound what is read from a client after the response to a request that
+	// was not read completely. Closing the connection with unread bytes would reset it, and the client could
+	// lose the response.
+	maxLingerTime  = 250 * time.Millisecond
+	maxLingerBytes = 256 << 10
 )
 
-// needsLinger reports whether the client may have sent what was not read. After an incomplete response
-// nothing is read any more: the client must see that it broke off.
+// needsLinger reports whether the client may have sent bytes that were not read. After an incomplete response
+// it returns false: lingering would end the connection in order, and the client must see that the response was
+// broken off.
 func (c *client) needsLinger() bool {
 	if c.truncated {
 		return false
@@ -21,12 +23,13 @@
 	return c.mustLinger || c.socket.hasBufferedInput() || c.socket.readState() == readable
 }
 
-// linger ends the sending and reads what the client still sends, for a bounded time.
+// linger half-closes the connection, and reads and discards what the client still sends, within the bounds of
+// time and bytes.
 func (c *client) linger() {
 	half, ok := c.socket.NetConn().(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	c.socket.SetReadDeadline(time.Now().Add(lingerTime))
-	_, _ = io.CopyN(io.Discard, c.socket.reader(), lingerBytes) // the connection is over however it ends
+	c.socket.SetReadDeadline(time.Now().Add(maxLingerTime))
+	_, _ = io.CopyN(io.Discard, c.socket.reader(), maxLingerBytes) // the connection is closed either way
 }
--- a/internal/router/dataplane/localreply.go
+++ b/internal/router/dataplane/localreply.go
@@ -7,29 +7,29 @@
 	"cresshub/internal/http1"
 )
 
-// localReplyError is the proxy's own response to a request that is not answered by a server; Envoy calls it
-// a local reply.
+// localReplyError is the proxy's own response to a request that no server answers: a local reply, in Envoy's
+// term.
 type localReplyError struct {
 	status          int
-	reason          string // one word for metrics and logs; "" if the round trip has recorded it
-	remedy          string // what the client or the operator can do
+	reason          string // metric label and log field; "" if the round trip has recorded the outcome
+	remedy          string // the text of the response: the cause, and what the client or the operator can do
 	retryAfter      time.Duration
-	closeConnection bool // the connection has to end, as the next request on it cannot be found
+	closeConnection bool // the start of the next request is unknown, so the connection must be closed
 }
 
 func (r *localReplyError) Error() string { return r.remedy }
 
-// Replies to requests that could not be read completely; the connection has to end.
+// Replies to requests that could not be read completely, after which the connection is closed.
 var (
-	errTooSlow = &localReplyError{
+	errRequestTimeout = &localReplyError{
 		status: http1.StatusRequestTimeout, reason: "too_slow", closeConnection: true,
 		remedy: "the request did not come whole in time; send it faster",
 	}
-	errTooLarge = &localReplyError{
+	errBodyTooLarge = &localReplyError{
 		status: http1.StatusRequestEntityTooLarge, reason: "too_large", closeConnection: true,
 		remedy: "the body is too large; keep within the configuration's contents_bytes",
 	}
-	errNoMemory = &localReplyError{
+	errBodyMemoryExhausted = &localReplyError{
 		status: http1.StatusServiceUnavailable, reason: "no_memory", closeConnection: true,
 		retryAfter: 200 * time.Millisecond,
 		remedy:     "no memory is left for bodies; send the request again later",
@@ -56,8 +56,8 @@
 	}
 )
 
-// sendLocalReply sends the proxy's own response; req is nil if no request could be read. It reports whether
-// the connection goes on.
+// sendLocalReply sends a local reply; req is nil if no request could be read. It reports whether the
+// connection stays open.
 func (c *client) sendLocalReply(req *request, reply *localReplyError) bool {
 	c.recordResponse()
 	c.proxy.recordLocalReply(req, reply)
@@ -73,7 +73,7 @@
 	return !response.Close
 }
 
-// response returns the reply as a response to a request, nil if none could be read.
+// response returns the reply as a response to req, which is nil if no request could be read.
 func (r *localReplyError) response(req *request) *http1.Response {
 	text := r.remedy + "\n"
 	response := &http1.Response{Status: r.status, Body: []byte(text)}
@@ -94,7 +94,7 @@
 	return response
 }
 
-// countLocalReply counts a reply that says whether the request has run.
+// countLocalReply counts a reply with status 503, which says that the request has not run, or with 502 or 504.
 func (c *counters) countLocalReply(status int) {
 	switch status {
 	case http1.StatusServiceUnavailable:
@@ -104,5 +104,5 @@
 	}
 }
 
-// formatSeconds formats a Retry-After, in seconds with milliseconds.
+// formatSeconds formats the value of Retry-After, in seconds with three decimals.
 func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
--- a/internal/router/dataplane/malformedrequests_test.go
+++ b/internal/router/dataplane/malformedrequests_test.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// shortTime is so short that a test waits until it is over.
-const shortTime = 50 * time.Millisecond
+// shortTimeout is so short that a test waits until it is over.
+const shortTimeout = 50 * time.Millisecond
 
 // limits are the limits of testLimits with other times and sizes.
 func limits(headerTimeout, idleTimeout time.Duration) fleetconfig.Limits {
@@ -92,8 +92,8 @@
 		text   string
 		limits fleetconfig.Limits
 	}{
-		"head too slow": {begin, limits(shortTime, testTimeout)},
-		"body too slow": {begin + "Content-Length: 5\r\n\r\nab", limits(testTimeout, shortTime)},
+		"head too slow": {begin, limits(shortTimeout, testTimeout)},
+		"body too slow": {begin + "Content-Length: 5\r\n\r\nab", limits(testTimeout, shortTimeout)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
@@ -138,7 +138,7 @@
 }
 
 func TestIdleClientIsClosed(t *testing.T) {
-	rig := newRig(t, withLimits(limits(testTimeout, shortTime)))
+	rig := newRig(t, withLimits(limits(testTimeout, shortTimeout)))
 	_, err := rig.dial().in.ReadByte()
 	rig.Assert(err, qt.Equals, io.EOF)
 }
--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// WriteMetrics writes the figures of the data plane.
+// WriteMetrics writes the metrics of the data plane to the page.
 func (p *Proxy) WriteMetrics(page *metrics.Page) {
 	for _, figure := range p.counterMetrics() {
 		page.Counter(figure.name, figure.help, figure.value)
@@ -60,7 +60,7 @@
 	p.budgets.write(page, p.now(), p.state.Proxies())
 }
 
-// counterMetric is one of the plain counts.
+// counterMetric is a counter without labels.
 type counterMetric struct {
 	name, help string
 	value      int64
@@ -87,7 +87,7 @@
 	}
 }
 
-// write writes what each service's retry budget has left.
+// write writes how many retries each service's budget has left.
 func (b *retryBudgets) write(page *metrics.Page, now time.Duration, proxies int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,7 +103,7 @@
 			Value: strconv.Itoa(int(allowed.window.Seconds()))})
 }
 
-// openCount returns how many connections to servers there are.
+// openCount returns how many connections to servers are open, including those that are being dialled.
 func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/dataplane/nextcall.go
+++ b/internal/router/dataplane/nextcall.go
@@ -6,7 +6,8 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// nextCall returns the call that answers the request, nil if there is no server or no retry left.
+// nextCall returns the next call that can answer the request: a decode call if there is a handle and such a
+// call is possible, otherwise one in the role Serve. It returns nil if no server or no retry is left.
 func (rt *roundTrip) nextCall() *call {
 	if rt.handle.expired(time.Now()) {
 		rt.releaseHandle()
@@ -20,8 +21,9 @@
 	return rt.newCall(scheduler.Serve)
 }
 
-// newCall chooses the server for a call in that role, and pays for it if it is a retry. It returns nil
-// where there is none.
+// newCall chooses a server for a call in that role, and charges the call to the retry budget if it is a retry.
+// It returns nil, and records why, if the route allows no further attempt, no server is left, or the budget is
+// used up.
 func (rt *roundTrip) newCall(role scheduler.Role) *call {
 	if !rt.attempts.allows(role) {
 		rt.trace.setReason(reasonAttemptsUsed)
@@ -42,8 +44,8 @@
 	return rt.inFlight
 }
 
-// payForRetry takes the cost of a call from the retry budget, and reports whether the budget allowed it. A
-// first attempt costs nothing.
+// payForRetry takes the cost of a call from the retry budget, and reports whether the budget had that much
+// left. A first attempt costs nothing.
 func (rt *roundTrip) payForRetry(role scheduler.Role) bool {
 	proxy, cost := rt.proxy, rt.attempts.retryCost(role)
 	if !proxy.budgets.take(proxy.now(), rt.request.service.Name, proxy.state.Proxies(), cost) {
--- a/internal/router/dataplane/outcome.go
+++ b/internal/router/dataplane/outcome.go
@@ -9,18 +9,18 @@
 	"cresshub/internal/metrics"
 )
 
-// requestOutcome is how a request ended; metrics and logs have it as "outcome". docs/fleet-operating.md
+// requestOutcome is how a request ended: the value of "outcome" in metrics and logs. docs/fleet-operating.md
 // explains the values to operators.
 type requestOutcome string
 
 // The outcomes of a request.
 const (
-	outcomeServed             requestOutcome = "served"         // the complete response of a server
-	outcomeServerFailure      requestOutcome = "server_failure" // a server's own 5xx
-	outcomeRejected           requestOutcome = "rejected"       // 503: it has not run
-	outcomeFailed             requestOutcome = "failed"         // 502
-	outcomeTimedOut           requestOutcome = "timed_out"      // 504
-	outcomeTruncated          requestOutcome = "truncated"      // the connection ends within the response
+	outcomeServed             requestOutcome = "served"         // a server's complete response was forwarded
+	outcomeServerFailure      requestOutcome = "server_failure" // a server's own 5xx was forwarded
+	outcomeRejected           requestOutcome = "rejected"       // local reply 503: the request has not run
+	outcomeFailed             requestOutcome = "failed"         // local reply 502
+	outcomeTimedOut           requestOutcome = "timed_out"      // local reply 504
+	outcomeTruncated          requestOutcome = "truncated"      // the connection ended within the response
 	outcomeClientDisconnected requestOutcome = "client_disconnected"
 )
 
@@ -34,29 +34,29 @@
 	return outcomeFailed
 }
 
-// maxRejectionLogs and maxFailureLogs are how many requests that were not served are logged a second; the
-// metrics count all of them.
+// maxRejectionLogsPerSecond and maxFailureLogsPerSecond bound how many requests that were not served are
+// logged. The metrics count all of them.
 const (
-	maxRejectionLogs = 2
-	maxFailureLogs   = 8
+	maxRejectionLogsPerSecond = 2
+	maxFailureLogsPerSecond   = 8
 )
 
-// observer counts what became of requests and logs those that were not served. It is safe for concurrent
+// observer counts the outcomes of requests and logs requests that were not served. It is safe for concurrent
 // use.
 type observer struct {
-	rejectionLog, failureLog zerolog.Logger // limited to so many lines a second
+	rejectionLog, failureLog zerolog.Logger // rate-limited
 
 	unserved     metrics.CounterFamily // by outcome and reason
-	notForwarded metrics.CounterFamily // requests without a round trip, by reason
+	notForwarded metrics.CounterFamily // requests answered without a round trip, by reason
 	durations    metrics.Histogram
 }
 
 func (o *observer) setLogger(log zerolog.Logger) {
-	o.rejectionLog = log.Sample(&zerolog.BurstSampler{Burst: maxRejectionLogs, Period: time.Second})
-	o.failureLog = log.Sample(&zerolog.BurstSampler{Burst: maxFailureLogs, Period: time.Second})
+	o.rejectionLog = log.Sample(&zerolog.BurstSampler{Burst: maxRejectionLogsPerSecond, Period: time.Second})
+	o.failureLog = log.Sample(&zerolog.BurstSampler{Burst: maxFailureLogsPerSecond, Period: time.Second})
 }
 
-// recordOutcome counts how a request ended, and logs one that was not served, with all its failed calls.
+// recordOutcome counts how a request ended. A request that was not served is logged with all its failed calls.
 func (p *Proxy) recordOutcome(rt *roundTrip, outcome requestOutcome, status int) {
 	elapsed := time.Since(rt.request.arrived)
 	p.observer.durations.Observe(elapsed)
@@ -86,7 +86,7 @@
 		Array("calls", &rt.trace).Msg("front: request not served")
 }
 
-// recordLocalReply counts a local reply to a request that no round trip was begun for.
+// recordLocalReply counts and logs a local reply to a request for which no round trip was started.
 func (p *Proxy) recordLocalReply(req *request, reply *localReplyError) {
 	if reply.reason == "" {
 		return
--- a/internal/router/dataplane/peerload.go
+++ b/internal/router/dataplane/peerload.go
@@ -9,7 +9,7 @@
 // maxKnownPrefixes bounds how many prefixes KnownPrefixes returns.
 const maxKnownPrefixes = 4096
 
-// peerExchange exchanges load and cached prefixes with the other proxies.
+// peerExchange is the part of the scheduler that exchanges load and cached prefixes with the other proxies.
 type peerExchange interface {
 	TakeInFlightLoads(scope scheduler.LoadScope) []scheduler.InFlightLoad
 	SetPeerLoad(now time.Duration, peers []scheduler.InFlightLoad, scope scheduler.LoadScope)
@@ -20,11 +20,12 @@
 	MarkPrefixesSynced(now time.Duration)
 }
 
-// InFlightChanged returns a channel that holds a token when calls to model servers have begun or ended.
+// InFlightChanged returns a channel that holds a token if calls to model servers have begun or ended since the
+// previous token was received.
 func (p *Proxy) InFlightChanged() <-chan struct{} { return p.chooser.inFlightChanged }
 
-// TakeInFlightLoads returns what this proxy has in flight at the servers in the scope; changes are those
-// since the last call.
+// TakeInFlightLoads returns what this proxy has in flight at the servers in the scope. ChangedServers are those
+// whose load has changed since the previous call.
 func (p *Proxy) TakeInFlightLoads(scope scheduler.LoadScope) []scheduler.InFlightLoad {
 	lc := p.chooser
 	lc.mu.Lock()
@@ -33,7 +34,7 @@
 }
 
 // TakeNewPrefixes returns the prefixes that this proxy has sent to servers for the first time since the
-// last call.
+// previous call.
 func (p *Proxy) TakeNewPrefixes() []scheduler.CachedPrefixes {
 	lc := p.chooser
 	lc.mu.Lock()
@@ -41,7 +42,7 @@
 	return lc.inner.TakeNewPrefixes()
 }
 
-// SetPeerLoad sets what all other proxies together have in flight at the servers in the scope. It also adds
+// SetPeerLoad sets the sum of what the other proxies have in flight at the servers in the scope. It also adds
 // the prefixes that they have sent to servers for the first time.
 func (p *Proxy) SetPeerLoad(peers []scheduler.InFlightLoad, scope scheduler.LoadScope,
 	prefixes []scheduler.CachedPrefixes) {
@@ -51,20 +52,20 @@
 	p.chooser.inner.AddCachedPrefixes(prefixes)
 }
 
-// MarkFleetStart records that no proxy has sent anything to a server before this one started.
+// MarkFleetStart records that no proxy had sent anything to a server before this one started.
 func (p *Proxy) MarkFleetStart() {
 	now := p.chooser.lock()
 	defer p.chooser.mu.Unlock()
 	p.chooser.inner.MarkFleetStart(now)
 }
 
-// LastSuccess is the newest request of this proxy that a server answered with success.
+// LastSuccess is the most recent request of this proxy that a server answered successfully.
 type LastSuccess struct {
-	Exists bool          // the server has answered one
-	Age    time.Duration // how long ago
+	Exists bool          // the server has answered such a request
+	Age    time.Duration // time since then
 }
 
-// LastSuccess returns the newest request that a server, named by its id, answered with success.
+// LastSuccess returns the most recent request that the server with that ID answered successfully.
 func (p *Proxy) LastSuccess(server string) LastSuccess {
 	now := p.chooser.lock()
 	defer p.chooser.mu.Unlock()
@@ -75,7 +76,8 @@
 	return LastSuccess{Exists: true, Age: now - last.At}
 }
 
-// KnownPrefixes returns which prefixes are known to be cached at which servers, at most maxKnownPrefixes.
+// KnownPrefixes returns the prefixes that are known to be cached, by server. It returns at most
+// maxKnownPrefixes of them.
 func (p *Proxy) KnownPrefixes() []scheduler.CachedPrefixes {
 	lc := p.chooser
 	lc.mu.Lock()
@@ -83,8 +85,8 @@
 	return lc.inner.KnownPrefixes(maxKnownPrefixes)
 }
 
-// SyncPrefixes adds what another proxy, or this one before it was restarted, knew of the prefixes cached at
-// servers.
+// SyncPrefixes adds the cached prefixes that another proxy knows, or that this one knew before it was
+// restarted.
 func (p *Proxy) SyncPrefixes(known []scheduler.CachedPrefixes) {
 	now := p.chooser.lock()
 	defer p.chooser.mu.Unlock()
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -7,11 +7,11 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// prefill has a server prefill the prompt, and takes the handle of its prefix cache. If that fails the
-// request goes on without: the call does not run the request, so it may be retried as long as the budget
-// allows.
+// prefill has a server prefill the prompt, and keeps the handle of its prefix cache. A prefill call does not
+// run the request, so it may be retried as long as the route and the budget allow. If prefill fails, the
+// request continues without a handle.
 func (rt *roundTrip) prefill() {
-	for rt.handle == nil && !rt.finished() && rt.unreachableServers < maxUnreachable {
+	for rt.handle == nil && !rt.finished() && rt.unreachableServers < maxUnreachableServers {
 		call := rt.newCall(scheduler.Prefill)
 		if call == nil {
 			return
@@ -28,7 +28,8 @@
 	}
 }
 
-// recordPrefillFailure records how prefill failed, and reports whether another server may be asked for it.
+// recordPrefillFailure records how a prefill call failed, and reports whether it may be retried at another
+// server.
 func (rt *roundTrip) recordPrefillFailure(call *call, failure *callFailure) bool {
 	rt.excludeServer(call)
 	switch failure.execution {
@@ -38,15 +39,15 @@
 		rt.attempts.recordRejected()
 	case mayHaveRun:
 		rt.attempts.recordAccepted(scheduler.Prefill)
-		if !call.responseStarted { // it may have been queued there, which makes the next call a retry
+		if !call.responseStarted { // the server may have queued the call, which makes the next one a retry
 			rt.attempts.unpaidPrefills++
 		}
-		return failure.outcome != scheduler.TimedOut // a timeout leaves too little time for a second one
+		return failure.outcome != scheduler.TimedOut // too little time is left for a second prefill call
 	}
 	return true
 }
 
-// prefill makes the call that has the prompt prefilled.
+// prefill makes a call that has the prompt prefilled, and stores the handle in the round trip.
 func (c *call) prefill() *callFailure {
 	failure := c.connect()
 	if failure != nil {
@@ -62,7 +63,8 @@
 	return c.finish(failure)
 }
 
-// receiveHandle takes the handle from the response to a prefill call. The call fails if it has none.
+// receiveHandle reads the response to a prefill call and stores its handle in the round trip. The call fails if
+// the response has none.
 func (c *call) receiveHandle(response serverResponse) *callFailure {
 	rt := c.roundTrip
 	class := classify(c.responseTraits(response))
--- a/internal/router/dataplane/prefill_test.go
+++ b/internal/router/dataplane/prefill_test.go
@@ -213,7 +213,7 @@
 	ended := make(chan string, 9)
 	prefillers, decoders := newModelServers(t, neverAnswer(ended), streamEvents(1, 2, true))
 	rig := newRig(t, nil, append(prefillers, decoders...)...)
-	rig.usePrefillMinimum()
+	rig.useMinPrefillTimeout()
 	response := rig.dial().do("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 15000")
 	rig.Assert(response.Status, qt.Equals, 200)
 	rig.Assert(<-ended, qt.Equals, "a")
--- a/internal/router/dataplane/proxy.go
+++ b/internal/router/dataplane/proxy.go
@@ -14,11 +14,11 @@
 	"cresshub/internal/stallclock"
 )
 
-// State is what the data plane reads for each request, as immutable snapshots, and what it reports back.
+// State provides what the data plane reads for each request, as immutable snapshots, and takes its reports.
 type State interface {
 	Config() *fleetconfig.Config // nil until a configuration is known
 	Servers() *catalog.Table
-	Proxies() int // proxies believed live, at least 1
+	Proxies() int // number of proxies believed live, at least 1
 	// ReportReplaced reports that another incarnation answers at a server's address.
 	ReportReplaced(server string)
 	// Suspect reports that a server's machine does not acknowledge what is sent to it, or refuses
@@ -28,12 +28,12 @@
 
 // Proxy is the data plane. Its methods are safe for concurrent use.
 type Proxy struct {
-	// What New sets. Each part guards its own state.
+	// Set by New and not changed. Each of them synchronizes its own state.
 	settings     *agentsettings.Settings
 	state        State
 	log          zerolog.Logger
-	clock        *stallclock.Clock // of this process's stalls
-	started      time.Time         // when the steady clock began
+	clock        *stallclock.Clock // measures the stalls of this process
+	started      time.Time         // the origin of the monotonic clock
 	chooser      *lockedChooser
 	budgets      *retryBudgets
 	bodies       *bodybudget.Budget
@@ -47,13 +47,13 @@
 	requestCount atomic.Uint64 // round trips so far
 	draining     atomic.Bool   // set once, with mu locked
 
-	mu             sync.Mutex
+	mu             sync.Mutex           // guards the fields below
 	clients        map[*client]struct{} // the connected ones
-	clientsChanged chan struct{}        // closed and replaced when a client has disconnected
+	clientsChanged chan struct{}        // closed and replaced when a client is removed
 	drainStarted   time.Time            // when the drain began
 }
 
-// New returns a Proxy. It opens nothing before Serve. The clock may be nil.
+// New returns a Proxy. It opens no connection before Serve. The clock may be nil.
 func New(settings *agentsettings.Settings, state State, clock *stallclock.Clock, log zerolog.Logger) *Proxy {
 	p := &Proxy{
 		settings: settings, state: state, clock: clock, log: log, started: time.Now(),
@@ -63,18 +63,19 @@
 	}
 	p.observer.setLogger(log)
 	p.chooser = newLockedChooser(settings.Zone, state, clock, p.now)
-	listed := func(server string) bool { return p.servers().ByID(server) != nil }
-	p.pool = newPool(&p.counters, clock, p.connectionLimit(), listed)
+	isListed := func(server string) bool { return p.servers().ByID(server) != nil }
+	p.pool = newPool(&p.counters, clock, p.connectionLimit(), isListed)
 	p.handles = newHandleReleaser(p.pool)
 	return p
 }
 
-// now is the steady clock of the scheduler and the retry budgets.
+// now returns the time on the monotonic clock of the scheduler and the retry budgets, which starts with the
+// Proxy.
 func (p *Proxy) now() time.Duration { return time.Since(p.started) }
 
 func (p *Proxy) servers() *catalog.Table { return servers(p.state) }
 
-// servers returns the newest table of servers, an empty one while none is known.
+// servers returns the newest table of servers, or an empty one if none is known yet.
 func servers(state State) *catalog.Table {
 	if table := state.Servers(); table != nil {
 		return table
--- a/internal/router/dataplane/proxy_test.go
+++ b/internal/router/dataplane/proxy_test.go
@@ -121,7 +121,7 @@
 func TestRejectsWhatCannotStartInTime(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, nil, server)
-	rig.chooser.wait = 20 * testTimeout
+	rig.chooser.queueDelay = 20 * testTimeout
 	response := rig.dial().do("GET", "/safe/", "a1", "")
 	rig.Assert(response.Status, qt.Equals, 503)
 	rig.Assert(response.Header.Get("Retry-After"), qt.Equals, "1.000")
--- a/internal/router/dataplane/readdeadline_test.go
+++ b/internal/router/dataplane/readdeadline_test.go
@@ -94,7 +94,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			rig := newRig(t, withRetrySlack(100), test.others...)
 			if test.full {
-				rig.chooser.wait = time.Second
+				rig.chooser.queueDelay = time.Second
 			}
 			_, err := rig.readFromTimedOutServer(test.route, test.change)
 			if test.waits {
--- a/internal/router/dataplane/readrequest.go
+++ b/internal/router/dataplane/readrequest.go
@@ -11,14 +11,16 @@
 	"cresshub/internal/stallclock"
 )
 
-// initialBodyBuffer is what is reserved at first for a body of unknown length, in bytes.
+// initialBodyBuffer is the initial buffer size for a body of unknown length, in bytes.
 const initialBodyBuffer = 4 << 10
 
-// singleFields are the fields that a request may hold only once: two sides might each use another one.
-var singleFields = []string{"Host", tryIDHeader, lastEventHeader}
+// nonRepeatableFields are the fields that a request may contain only once: if there were two, the proxy and the
+// server might each use a different one.
+var nonRepeatableFields = []string{"Host", tryIDHeader, lastEventHeader}
 
-// readRequest reads one request with its body, which is reserved from the budget. The error is a
-// *localReplyError where the client is to get a response, and anything else where the connection is over.
+// readRequest reads one request with its body, whose memory is reserved from the body budget. The error is a
+// *localReplyError if the client is to get a response; after any other error the connection is closed without
+// one.
 func (c *client) readRequest() (*request, error) {
 	arrived := time.Now()
 	limits := c.proxy.limits()
@@ -27,7 +29,7 @@
 	if err != nil {
 		return nil, c.readError(err)
 	}
-	if head.Header.Repeated(singleFields...) != "" {
+	if head.Header.Repeated(nonRepeatableFields...) != "" {
 		return nil, errDuplicateField
 	}
 	req := newRequest(head, arrived, c.proxy.state.Config())
@@ -40,7 +42,8 @@
 	return req, nil
 }
 
-// readError turns an error of reading a request into the local reply to it, if there is one.
+// readError returns the local reply to a request that could not be read because of err, or err itself if there
+// is none.
 func (c *client) readError(err error) error {
 	var malformed *http1.MalformedError
 	var reply *localReplyError
@@ -51,12 +54,12 @@
 		return &localReplyError{status: malformed.Status, reason: "malformed", closeConnection: true,
 			remedy: malformed.Reason}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return errTooSlow
+		return errRequestTimeout
 	}
 	return err
 }
 
-// sendContinue sends 100 Continue if the client waits for it.
+// sendContinue sends 100 Continue if the client expects it.
 func (c *client) sendContinue(head *http1.Request) error {
 	if !head.ExpectsContinue {
 		return nil
@@ -67,10 +70,10 @@
 	return out.Flush()
 }
 
-// readBody buffers the complete body, so that it can be sent more than once.
+// readBody buffers the complete body, so that it can be sent again in a retry.
 func (c *client) readBody(req *request, body *http1.Body, limits fleetconfig.Limits) error {
 	if body.Length() > int64(limits.MaxBodyBytes) {
-		return errTooLarge
+		return errBodyTooLarge
 	}
 	length := 0
 	for !body.Complete() {
@@ -83,27 +86,27 @@
 		n, err := body.Read(req.Body[length:])
 		length += n
 		if err != nil && !body.Complete() {
-			return unexpectedEnd(err)
+			return asUnexpectedEOF(err)
 		}
 	}
 	req.Body = req.Body[:length]
 	return checkBodySize(length, limits.MaxBodyBytes)
 }
 
-// unexpectedEnd is the error of reading a body that is incomplete.
-func unexpectedEnd(err error) error {
+// asUnexpectedEOF returns the error of reading an incomplete body: io.ErrUnexpectedEOF in place of io.EOF.
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// growBody enlarges the full buffer of a body, to one byte more than is allowed at most: a body that takes
-// that byte is too large.
+// growBody enlarges the full buffer of a body, to at most one byte more than the limit: a body that fills this
+// byte is too large.
 func (c *client) growBody(req *request, body *http1.Body, maxBytes int) error {
 	buffered := len(req.Body)
 	if buffered == maxBytes+1 {
-		return errTooLarge
+		return errBodyTooLarge
 	}
 	size := initialBodyBuffer
 	if body.Length() > 0 {
@@ -111,7 +114,7 @@
 	}
 	size = min(max(size, 2*buffered), maxBytes+1)
 	if !c.proxy.bodies.Reserve(size - buffered) {
-		return errNoMemory
+		return errBodyMemoryExhausted
 	}
 	c.reservedBytes += size - buffered
 	larger := make([]byte, size)
@@ -122,7 +125,7 @@
 
 func checkBodySize(length, maxBytes int) error {
 	if length > maxBytes {
-		return errTooLarge
+		return errBodyTooLarge
 	}
 	return nil
 }
--- a/internal/router/dataplane/retry.go
+++ b/internal/router/dataplane/retry.go
@@ -4,10 +4,11 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// maxUnreachable is how many servers may be unreachable before nothing more is tried.
-const maxUnreachable = 4
+// maxUnreachableServers is the number of unreachable servers after which no further attempt is made.
+const maxUnreachableServers = 4
 
-// recordFailure records how a call failed.
+// recordFailure records how a call failed: whether the request may have run, and which servers and attempts are
+// left.
 func (rt *roundTrip) recordFailure(call *call, failure *callFailure) {
 	rt.worstExecution = max(rt.worstExecution, failure.execution)
 	if failure.response != nil {
@@ -19,18 +20,18 @@
 	}
 	switch {
 	case rt.relay.started:
-		rt.handle = nil // the server that began the stream has taken the prefix cache
+		rt.handle = nil // the server that began the stream has fetched the prefix cache
 	case call.role == scheduler.Decode && failure.handleConsumed():
 		rt.releaseHandle()
 	}
 }
 
-// excludeServer keeps the call's server from being chosen again for this request.
+// excludeServer prevents the call's server from being chosen again for this request.
 func (rt *roundTrip) excludeServer(call *call) {
 	rt.request.scheduling.Excluded = append(rt.request.scheduling.Excluded, call.choice.Server.ID)
 }
 
-// countAttempt counts a failed call against the route's attempts, or as one to an unreachable server.
+// countAttempt counts a failed call as an attempt, or as a call to an unreachable server if nothing was sent.
 func (rt *roundTrip) countAttempt(call *call, failure *callFailure) {
 	abandonedUnsent := failure.outcome == scheduler.Abandoned && failure.execution == notSent
 	switch {
@@ -43,12 +44,13 @@
 	}
 }
 
-// mayCallAgain reports whether the calls that have failed permit another one, and records why not.
+// mayCallAgain reports whether another call is permitted after those that have failed. If not, it records the
+// reason.
 func (rt *roundTrip) mayCallAgain() bool {
 	switch {
 	case !retryIsSafe(rt.request.route.Idempotent(), rt.worstExecution):
 		rt.trace.setReason(reasonMayHaveRun)
-	case rt.unreachableServers >= maxUnreachable:
+	case rt.unreachableServers >= maxUnreachableServers:
 		rt.trace.setReason(reasonUnreachable)
 	case !rt.relay.canSwitchServer():
 		rt.trace.setReason(reasonNotResumable)
@@ -58,10 +60,11 @@
 	return false
 }
 
-// retryIsSafe reports whether the request may be sent again after a call that ended so.
+// retryIsSafe reports whether the request may be sent again, where worst is the worst execution of its calls.
 func retryIsSafe(idempotent bool, worst execution) bool { return idempotent || worst != mayHaveRun }
 
-// couldRetry reports whether another call could follow one that is in flight now.
+// couldRetry reports whether a retry could follow the call that is in flight now: the request is idempotent,
+// and the route and the retry budget allow another attempt.
 func (rt *roundTrip) couldRetry() bool {
 	proxy := rt.proxy
 	return rt.request.route.Idempotent() && rt.attempts.count+2 <= rt.attempts.maxAttempts &&
--- a/internal/router/dataplane/retry_test.go
+++ b/internal/router/dataplane/retry_test.go
@@ -140,15 +140,15 @@
 	}
 }
 
-// newDeadServer returns a server that runs no more: its address refuses connections.
-func newDeadServer(t *testing.T, id string) *fakeServer {
+// newRefusingServer returns a server that runs no more: its address refuses connections.
+func newRefusingServer(t *testing.T, id string) *fakeServer {
 	t.Helper()
 	return &fakeServer{Server: &catalog.Server{ID: id, Service: "lookup", Slots: 8, State: catalog.Ready,
 		Address: nettest.RefusingAddress(t)}}
 }
 
 func TestUnreachableServersAreNoAttempts(t *testing.T) {
-	dead := newDeadServer(t, "i-0")
+	dead := newRefusingServer(t, "i-0")
 	alive := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, withRetrySlack(0), dead, alive)
 	rig.Assert(rig.dial().do("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
@@ -175,9 +175,9 @@
 			t.Parallel()
 			servers := newLookupServers(t, inTurn(neverAnswer(ended), respondOK("x")))
 			rig := newRig(t, nil, servers...)
-			rig.useResponseMinimum(test.route)
+			rig.useMinResponseTimeout(test.route)
 			var response *http1.Response
-			rig.untilReceived(test.deadline, servers, func(deadline time.Duration) int {
+			rig.retryUntilReceived(test.deadline, servers, func(deadline time.Duration) int {
 				response = rig.dial().do("POST", "/"+test.route+"/", "a", "",
 					fmt.Sprintf("Cresshub-Deadline-Ms: %d", deadline.Milliseconds()))
 				return response.Status
@@ -210,7 +210,7 @@
 
 // TestServersThatRefuseConnectionsAreSuspected reports a server whose process has ended, and no other.
 func TestServersThatRefuseConnectionsAreSuspected(t *testing.T) {
-	rig := newRig(t, nil, newDeadServer(t, "away"))
+	rig := newRig(t, nil, newRefusingServer(t, "away"))
 	rig.Assert(rig.dial().do("GET", "/safe/", "a", "").Status, qt.Equals, 503)
 	rig.Assert(rig.state.suspected, qt.DeepEquals, []string{"away"})
 	rig = newRig(t, nil, newFakeServer(t, "broken", "lookup", "", closeUnanswered))
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -26,7 +26,7 @@
 
 // routeTimeout is the timeout of the routes, and their targets. The timeouts that the proxy derives from them
 // are longer than any wait of a test, so that a busy machine makes none of them end a call. Tests of these
-// timeouts set shorter ones: useResponseMinimum, useStreamMinimum, usePrefillMinimum, Cresshub-Deadline-Ms.
+// timeouts set shorter ones: useMinResponseTimeout, useMinStreamTimeout, useMinPrefillTimeout, Cresshub-Deadline-Ms.
 const routeTimeout = 3 * testTimeout
 
 // testRoute is a route of the test configuration. Its name is also the first part of its path.
@@ -168,20 +168,20 @@
 // shortTarget is a target from which the minimum of a timeout follows.
 const shortTarget = 300 * time.Millisecond
 
-// useResponseMinimum has calls of a route time out after minResponseTimeout. The time in which a connection
+// useMinResponseTimeout has calls of a route time out after minResponseTimeout. The time in which a connection
 // has to open is short, too: where a busy machine misses it another server is called instead.
-func (r *testRig) useResponseMinimum(route string) { r.route(route).LatencyTarget = shortTarget }
+func (r *testRig) useMinResponseTimeout(route string) { r.route(route).LatencyTarget = shortTarget }
 
-// useStreamMinimum has streams of a route time out after minStreamTimeout.
-func (r *testRig) useStreamMinimum(route string) { r.route(route).GapTarget = shortTarget }
+// useMinStreamTimeout has streams of a route time out after minStreamTimeout.
+func (r *testRig) useMinStreamTimeout(route string) { r.route(route).GapTarget = shortTarget }
 
 // route returns the configuration of a route, which a test may change between requests.
 func (r *testRig) route(name string) *fleetconfig.Route {
 	return r.state.config.Match("h", "/"+name+"/")
 }
 
-// usePrefillMinimum has prefill time out after minPrefillTimeout, as where its usual time is not known.
-func (r *testRig) usePrefillMinimum() { r.proxy.prefillTimes = newPrefillTimes() }
+// useMinPrefillTimeout has prefill time out after minPrefillTimeout, as where its usual time is not known.
+func (r *testRig) useMinPrefillTimeout() { r.proxy.prefillTimes = newPrefillTimes() }
 
 // tableOf returns a table of these servers.
 func tableOf(servers []*fakeServer) *catalog.Table {
@@ -195,7 +195,7 @@
 // awaitCallsEnded waits until every call has ended and checks that each ended once.
 func (r *testRig) awaitCallsEnded() {
 	r.Helper()
-	r.eventually("each call ends once", r.chooser.paired)
+	r.eventually("each call ends once", r.chooser.allCallsEndedOnce)
 }
 
 // eventually waits until holds returns true, for what happens on other goroutines; after testTimeout it fails
@@ -209,10 +209,10 @@
 	}
 }
 
-// untilReceived sends a request with a short deadline until one has reached a server: on a busy machine its
+// retryUntilReceived sends a request with a short deadline until one has reached a server: on a busy machine its
 // time may be over before, which is answered 503, and it is sent again with twice the time. A 503 that comes
 // long before the deadline is no excuse, and left to the caller. send returns the status of the response.
-func (r *testRig) untilReceived(deadline time.Duration, servers []*fakeServer,
+func (r *testRig) retryUntilReceived(deadline time.Duration, servers []*fakeServer,
 	send func(deadline time.Duration) int) {
 	r.Helper()
 	r.eventually("a request reaches a server in its time", func() bool {
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -8,34 +8,34 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// minTimeLeft is the time below which nothing is sent to a server any more.
+// minTimeLeft is the least time until the request's deadline with which a call is still made.
 const minTimeLeft = 5 * time.Millisecond
 
 // roundTrip sends one request to servers until one of them answers it or no further attempt is permitted. It
-// belongs to the client's goroutine, except for stop and what mu guards.
+// belongs to the client's goroutine, except for stop and the fields that mu guards.
 type roundTrip struct {
 	proxy         *Proxy
 	client        *client
 	request       *request
-	requestNumber uint64 // counts the requests of this process, from 1
+	requestNumber uint64 // number of the request in this process, from 1
 
-	// How far the request has come.
-	relay     relay     // what the client has got
+	// Progress of the request.
+	relay     relay     // forwards the response to the client
 	inFlight  *call     // nil between calls
 	handle    *kvHandle // of the prompt's prefix cache, nil if there is none
-	keepAlive bool      // the client's connection is good for another request; conclude sets it
+	keepAlive bool      // the client's connection stays open for another request; set by conclude
 
-	// What the calls so far permit.
+	// Results of the calls so far, which decide whether another one is permitted.
 	attempts           attemptCounter
-	worstExecution     execution         // of all calls but prefill calls
-	serverError        *bufferedResponse // the last one; forwarded if nothing more is tried
+	worstExecution     execution         // of all calls except prefill calls
+	serverError        *bufferedResponse // the last server's own error; forwarded if no further call is made
 	unreachableServers int               // calls to servers that could not be connected to
 
 	trace roundTripTrace // for the log and the invariants
 
-	mu        sync.Mutex // guards what follows, which stop changes
+	mu        sync.Mutex // guards the fields below, which stop uses
 	stopCause stopReason
-	abortable io.Closer // what stop has to close to wake the call; nil if it waits for nothing
+	abortable io.Closer // closed by stop to wake the call; nil if the call waits for nothing
 }
 
 func newRoundTrip(client *client, req *request) *roundTrip {
@@ -48,7 +48,7 @@
 	return rt
 }
 
-// run makes calls until the request is answered, and ends the response.
+// run makes calls until the request is answered or no further call is permitted, and ends the response.
 func (rt *roundTrip) run() {
 	defer rt.finishInterruptedCall()
 	proxy := rt.proxy
@@ -81,14 +81,15 @@
 	}
 	failure := call.run()
 	if failure == nil {
-		rt.handle = nil // the server that answered has taken the prefix cache
+		rt.handle = nil // the server that answered has fetched the prefix cache
 		return false
 	}
 	rt.recordFailure(call, failure)
 	return rt.mayCallAgain()
 }
 
-// finishInterruptedCall ends a call that a panic interrupted, and so releases what it had reserved.
+// finishInterruptedCall finishes a call that was interrupted by a panic: its connection is closed, and the
+// scheduler does not count it as in flight any more.
 func (rt *roundTrip) finishInterruptedCall() {
 	if call := rt.inFlight; call != nil {
 		call.mustClose = true
@@ -96,7 +97,7 @@
 	}
 }
 
-// cannotStartInTime reports whether no server could begin before the request's deadline.
+// cannotStartInTime reports whether no server could start on the request before its deadline.
 func (rt *roundTrip) cannotStartInTime() bool {
 	if rt.finished() {
 		return true
@@ -104,11 +105,11 @@
 	return !rt.proxy.chooser.queueDelay(&rt.request.scheduling).StartsWithin(rt.timeLeft())
 }
 
-// timeLeft is the time until the request's deadline, negative after it.
+// timeLeft returns the time until the request's deadline, which is negative after it.
 func (rt *roundTrip) timeLeft() time.Duration { return time.Until(rt.request.deadline) }
 
-// responseDeadline is the latest time at which a server's response may end. A response that has begun may use
-// the time up to the hard deadline, because no local reply could replace it any more.
+// responseDeadline returns the time by which a server's response must end. A response that has begun may use
+// the time up to the hard deadline, because it cannot be replaced by a local reply any more.
 func (rt *roundTrip) responseDeadline() time.Time {
 	if rt.relay.started {
 		return rt.request.hardDeadline
@@ -116,7 +117,7 @@
 	return rt.request.deadline
 }
 
-// finished reports whether nothing more may be sent.
+// finished reports whether no further call may be made: the round trip was stopped, or too little time is left.
 func (rt *roundTrip) finished() bool {
 	return rt.stopReason() != notStopped || rt.timeLeft() < minTimeLeft
 }
--- a/internal/router/dataplane/slidingmax.go
+++ b/internal/router/dataplane/slidingmax.go
@@ -3,19 +3,21 @@
 import "time"
 
 const (
-	// slidingMaxWindow is for how long at least a higher count of proxies is remembered: a partition makes
-	// the count fall, while those beyond it go on using their share of the retry budget.
+	// slidingMaxWindow is the least time for which a higher number of proxies is remembered. A network
+	// partition lowers the number, while the proxies on the other side continue to use their share of the
+	// retry budget.
 	slidingMaxWindow  = 60 * time.Second
 	slidingMaxBuckets = 6
 )
 
-// slidingMax is the highest of a figure's values within the last slidingMaxWindow, or a little longer.
+// slidingMax tracks the maximum of the values observed within the last slidingMaxWindow. It keeps a value for
+// up to one bucket longer.
 type slidingMax struct {
-	numbers [slidingMaxBuckets + 1]int64
-	values  [slidingMaxBuckets + 1]int
+	numbers [slidingMaxBuckets + 1]int64 // number of the bucket in each slot
+	values  [slidingMaxBuckets + 1]int   // maximum of each bucket
 }
 
-// observe adds a value and returns the highest within the window.
+// observe adds a value and returns the maximum within the window.
 func (m *slidingMax) observe(now time.Duration, value int) int {
 	number := int64(now/(slidingMaxWindow/slidingMaxBuckets)) + slidingMaxBuckets + 1
 	slot := number % int64(len(m.numbers))
--- a/internal/router/dataplane/stalls_test.go
+++ b/internal/router/dataplane/stalls_test.go
@@ -62,7 +62,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			rig := newRig(t, nil, test.server(t))
-			rig.useResponseMinimum("unsafe")
+			rig.useMinResponseTimeout("unsafe")
 			if test.stalled {
 				rig.stall()
 			}
--- a/internal/router/dataplane/stats.go
+++ b/internal/router/dataplane/stats.go
@@ -5,22 +5,22 @@
 // Stats are counts since the start of the process.
 type Stats struct {
 	Clients             int64 // connections accepted
-	ClientsRejected     int64 // connections closed at once, as there were too many
+	ClientsRejected     int64 // connections closed at once because of the connection limit
 	Requests            int64 // requests read completely
-	Malformed           int64 // requests that were no valid HTTP/1.1 or beyond the limits
+	Malformed           int64 // requests rejected while they were read
 	Forwarded           int64 // responses of servers forwarded completely
-	Rejected            int64 // requests answered 503: they have not run
+	Rejected            int64 // requests answered 503, which have not run
 	Failed              int64 // requests answered 502 or 504
-	Truncated           int64 // responses that ended before they were complete
+	Truncated           int64 // responses broken off after their head was sent
 	ClientsDisconnected int64 // clients that disconnected while their request was in flight
 	Calls               int64 // calls sent to servers
-	Retries             int64 // calls that the retry budget paid for
+	Retries             int64 // retries charged to the retry budgets
 	Resumed             int64 // streams resumed at another server
 	Prefills            int64 // prompts prefilled by one server for another
-	PrefillsFailed      int64 // prompts whose prefill failed
-	Surplus             int64 // responses that belonged to another request
+	PrefillsFailed      int64 // prefill calls that failed
+	Surplus             int64 // responses of servers that belonged to another request
 	Dialled             int64 // connections opened to servers
-	Reused              int64 // calls on a connection that was used before
+	Reused              int64 // times that an idle connection to a server was reused
 }
 
 // counters are the counts that Stats returns. Any goroutine may add to them.
@@ -32,7 +32,7 @@
 	dialled, reused                                            atomic.Int64
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (p *Proxy) Stats() Stats {
 	c := &p.counters
 	return Stats{
--- a/internal/router/dataplane/stop.go
+++ b/internal/router/dataplane/stop.go
@@ -9,18 +9,18 @@
 
 const (
 	notStopped         stopReason = iota
-	clientDisconnected            // before its response was complete
-	proxyStopping                 // the process ends, and Wait has aborted the request
+	clientDisconnected            // the client disconnected before its response was complete
+	proxyStopping                 // the process is shutting down, and Wait has aborted the request
 )
 
-// stopReason returns why the round trip was stopped. Any goroutine may call it.
+// stopReason returns why the round trip was stopped. It may be called from any goroutine.
 func (rt *roundTrip) stopReason() stopReason {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	return rt.stopCause
 }
 
-// stop ends the call in flight and lets no other begin. Any goroutine may call it.
+// stop aborts the call in flight and prevents further ones. It may be called from any goroutine.
 func (rt *roundTrip) stop(reason stopReason) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -32,7 +32,8 @@
 	}
 }
 
-// setAbortable sets what stop has to close; it returns false if the round trip is stopped already.
+// setAbortable sets what stop closes, nil for nothing. It returns false without setting a non-nil closer if the
+// round trip has been stopped already.
 func (rt *roundTrip) setAbortable(closer io.Closer) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
--- a/internal/router/dataplane/stream_test.go
+++ b/internal/router/dataplane/stream_test.go
@@ -186,7 +186,7 @@
 			t.Parallel()
 			servers := newLookupServers(t, inTurn(silent, resumesUntil(3)))
 			rig := newRig(t, nil, servers...)
-			rig.useStreamMinimum(test.route)
+			rig.useMinStreamTimeout(test.route)
 			client := rig.dial()
 			client.send("POST", "/"+test.route+"/", "a", "", "Cresshub-Deadline-Ms: "+test.deadline)
 			response, err := client.read()
--- a/internal/router/dataplane/timeouts.go
+++ b/internal/router/dataplane/timeouts.go
@@ -6,35 +6,34 @@
 )
 
 const (
-	// minPrefillTimeout is how long a server may take at least to prefill a prompt.
-	minPrefillTimeout = time.Second
-	// prefillTimeoutFactor is how many times the usual time it may take.
-	prefillTimeoutFactor = 3
-	// The time left divided by prefillTimeoutDivisor may be spent on prefill: the decode call has to
-	// follow.
+	// The timeout of prefill is prefillTimeoutFactor times the expected time and at least minPrefillTimeout,
+	// but at most the time left divided by prefillTimeoutDivisor, because the decode call has to follow.
+	minPrefillTimeout     = time.Second
+	prefillTimeoutFactor  = 3
 	prefillTimeoutDivisor = 2
-	// prefillTimeWeight is the weight of all earlier times in the mean beside that of a new one.
-	prefillTimeWeight = 7
-	// minResponseTimeout is how long a server may take at least to begin its response before an idempotent
-	// request is retried at another one.
-	minResponseTimeout = 1500 * time.Millisecond
-	// responseTimeoutTargets is how many times its route's latency target it may take,
-	// responseTimeoutFactor how many times the duration that the scheduler expected.
+	// priorMeanWeight is the weight of the previous mean of prefill times, where a new time has the weight 1.
+	priorMeanWeight = 7
+	// An idempotent request may be retried at another server if its response has not begun after the longest
+	// of minResponseTimeout, responseTimeoutTargets times the route's latency target, and responseTimeoutFactor
+	// times the duration that the scheduler expected.
+	minResponseTimeout     = 1500 * time.Millisecond
 	responseTimeoutTargets = 2
 	responseTimeoutFactor  = 3
-	// minStreamTimeout, or streamTimeoutGaps times the route's gap target, whichever is longer, is how long
-	// a stream may pause before it is resumed at another server.
+	// A stream may pause for minStreamTimeout or streamTimeoutGaps times the route's gap target, whichever is
+	// longer, before it is resumed at another server.
 	minStreamTimeout  = time.Second
 	streamTimeoutGaps = 3
 )
 
-// prefillTimeout is how long a server may take to prefill a prompt before the request goes on without.
+// prefillTimeout returns how long a server may take to prefill a prompt before the request continues without
+// its prefix cache.
 func prefillTimeout(expected, left time.Duration) time.Duration {
 	return min(max(prefillTimeoutFactor*expected, minPrefillTimeout), left/prefillTimeoutDivisor)
 }
 
-// responseTimeout is how long a server may take to begin its response; all the time left where no other one
-// could make it in time.
+// responseTimeout returns how long a server may take to begin its response before another one is tried. It
+// returns all the time left if that is less than one and a half timeouts, because another server would hardly
+// respond in time.
 func responseTimeout(target, expected, left time.Duration) time.Duration {
 	timeout := max(responseTimeoutTargets*target, responseTimeoutFactor*expected, minResponseTimeout)
 	if left < timeout+timeout/2 {
@@ -43,7 +42,7 @@
 	return timeout
 }
 
-// streamTimeout is how long a stream may pause before it is resumed at another server.
+// streamTimeout returns how long a stream may pause before it is resumed at another server.
 func streamTimeout(gap time.Duration) time.Duration {
 	return max(streamTimeoutGaps*gap, minStreamTimeout)
 }
@@ -57,7 +56,7 @@
 
 func newPrefillTimes() *prefillTimes { return &prefillTimes{mean: map[string]time.Duration{}} }
 
-// record adds how long a prefill call took, or how long it was waited for in vain.
+// record adds the duration of a prefill call, or the time after which it timed out.
 func (t *prefillTimes) record(service string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,10 +64,10 @@
 	if !known {
 		before = took
 	}
-	t.mean[service] = (before*prefillTimeWeight + took) / (prefillTimeWeight + 1)
+	t.mean[service] = (before*priorMeanWeight + took) / (priorMeanWeight + 1)
 }
 
-// expected is how long prefill usually takes, 0 if that is not known.
+// expected returns the mean time that prefill takes, 0 if none has been recorded.
 func (t *prefillTimes) expected(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/router/dataplane/trace.go
+++ b/internal/router/dataplane/trace.go
@@ -10,36 +10,36 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// finalReason is why no further attempt was made for a request; metrics and logs have it as "reason".
+// finalReason is why no further attempt was made for a request: the value of "reason" in metrics and logs.
 // docs/fleet-operating.md explains the values to operators.
 type finalReason string
 
 // The reasons why a request ends without the complete response of a server.
 const (
-	reasonNoCapacity   finalReason = "no_capacity"   // no server could begin before the request's deadline
+	reasonNoCapacity   finalReason = "no_capacity"   // no server could start before the request's deadline
 	reasonAttemptsUsed finalReason = "attempts_used" // the route allows no further attempt
 	reasonNoServer     finalReason = "no_server"     // the scheduler has no further server for the request
 	reasonRetryBudget  finalReason = "retry_budget"  // the service's retry budget is used up
 	reasonMayHaveRun   finalReason = "may_have_run"  // the request must not run twice
-	reasonUnreachable  finalReason = "unreachable"   // maxUnreachable servers could not be connected to
-	// a part of a stream was forwarded that no other server can resume
+	reasonUnreachable  finalReason = "unreachable"   // maxUnreachableServers servers could not be connected to
+	// a part of the response was forwarded, and no other server can resume it
 	reasonNotResumable       finalReason = "not_resumable"
-	reasonDeadline           finalReason = "deadline" // it has passed
-	reasonStopping           finalReason = "stopping" // this process ends
+	reasonDeadline           finalReason = "deadline" // the request's deadline has passed, or nearly
+	reasonStopping           finalReason = "stopping" // this process is shutting down
 	reasonClientDisconnected finalReason = "client_disconnected"
 )
 
-// roundTripTrace records a request's calls, to explain its outcome and to check invariants by counts of its
-// own: it must not rely on those that the attemptCounter decides by. It belongs to the client's goroutine.
+// roundTripTrace records a request's calls, to explain its outcome and to check invariants. Its counts are
+// independent of the attemptCounter, whose decisions they check. It belongs to the client's goroutine.
 type roundTripTrace struct {
-	reason           finalReason  // why no further attempt is made, "" while one may be
+	reason           finalReason  // why no further attempt is made; "" while one is still possible
 	failedCalls      []failedCall // in the order in which they ended
-	attempts         int          // that count against the route's maximum
+	attempts         int          // calls that count against the route's maximum
 	freePrefillUsed  bool         // the first prefill call, which does not count, has been accepted
-	unsafeMayHaveRun bool         // a request that must not run twice may have run
+	unsafeMayHaveRun bool         // the request must not run twice and may have run
 }
 
-// failedCall is a call that did not bring the complete response.
+// failedCall is a call that did not return the complete response.
 type failedCall struct {
 	server    string
 	role      scheduler.Role
@@ -49,7 +49,7 @@
 	elapsed   time.Duration
 }
 
-// setReason records why no further attempt is made; starting another call resets it to "".
+// setReason records why no further attempt is made. newCall resets it to "" when it starts a call.
 func (t *roundTripTrace) setReason(reason finalReason) { t.reason = reason }
 
 // finalReason returns why a request ends.
@@ -76,8 +76,7 @@
 	}
 }
 
-// endCall records how a call ended; failure is nil if the client has the complete
-// response.
+// endCall records how a call ended; failure is nil if the call succeeded.
 func (t *roundTripTrace) endCall(call *call, failure *callFailure) {
 	rt := call.roundTrip
 	sent := call.conn != nil && call.conn.bytesSent > 0
@@ -112,22 +111,23 @@
 		"request %s made %d attempts, %d are allowed", call.roundTrip.request.tryID, t.attempts, maxAttempts)
 }
 
-// checkLocalReply checks that a request which may have run gets no local reply that promises the opposite.
+// checkLocalReply checks that a request which may have run gets no local reply whose status says that it has
+// not.
 func (t *roundTripTrace) checkLocalReply(rt *roundTrip, status int) {
-	promises := status == http1.StatusRequestTimeout || status == http1.StatusMisdirectedRequest ||
+	saysNotRun := status == http1.StatusRequestTimeout || status == http1.StatusMisdirectedRequest ||
 		status == http1.StatusTooManyRequests || status == http1.StatusServiceUnavailable
-	invariant.Assert(!promises || !t.unsafeMayHaveRun, invariant.RejectedNeverRan,
+	invariant.Assert(!saysNotRun || !t.unsafeMayHaveRun, invariant.RejectedNeverRan,
 		"request %s is answered %d though it may have run", rt.request.tryID, status)
 }
 
-// MarshalZerologArray writes the calls in the order in which they ended.
+// MarshalZerologArray appends the failed calls in the order in which they ended.
 func (t *roundTripTrace) MarshalZerologArray(array *zerolog.Array) {
 	for i := range t.failedCalls {
 		array.Object(&t.failedCalls[i])
 	}
 }
 
-// MarshalZerologObject writes one call.
+// MarshalZerologObject adds the fields of one failed call to the event.
 func (f *failedCall) MarshalZerologObject(event *zerolog.Event) {
 	event.Str("server", f.server).Str("role", roleNames[f.role]).
 		Str("outcome", outcomeNames[f.outcome]).Str("execution", executionNames[f.execution]).
