--- a/internal/router/dataplane/bench_test.go
+++ b/internal/router/dataplane/bench_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// BenchmarkPlain is one request and its response, with client and server in this process.
+// BenchmarkPlain measures one request and its response, with the client and the server in this process.
 func BenchmarkPlain(b *testing.B) {
 	server := newFakeServer(b, "i-1", "lookup", "", respondOK("the body"))
 	rig := newRig(b, nil, server)
@@ -25,11 +25,12 @@
 	}
 }
 
-// BenchmarkSplit is a prompt prefilled by one server and a stream of 20 events decoded by another.
+// BenchmarkSplit measures a request whose prompt is prefilled by one server and whose stream of 20 events is
+// decoded by another.
 func BenchmarkSplit(b *testing.B) {
-	reader := newFakeServer(b, "i-r", "language", catalog.Prefill, respondHandle("h"))
-	writer := newFakeServer(b, "i-w", "language", catalog.Decode, streamEvents(1, 20, true))
-	rig := newRig(b, nil, reader, writer)
+	prefiller := newFakeServer(b, "i-r", "language", catalog.Prefill, respondHandle("h"))
+	decoder := newFakeServer(b, "i-w", "language", catalog.Decode, streamEvents(1, 20, true))
+	rig := newRig(b, nil, prefiller, decoder)
 	client := rig.dial()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -37,8 +38,8 @@
 	}
 }
 
-// BenchmarkIdleClients measures the memory of a client that is connected and sends nothing now, and of one
-// whose request waits for its server.
+// BenchmarkIdleClients measures the memory per client, of clients that are connected and idle, and of clients
+// whose requests wait for their server.
 func BenchmarkIdleClients(b *testing.B) {
 	const clients = 500
 	for _, waits := range []bool{false, true} {
@@ -59,7 +60,7 @@
 				b.Cleanup(func() { conn.Close() })
 				io.WriteString(conn, "GET /unbound/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n\r\n")
 			}
-			rig.eventually("all came", func() bool { return len(server.got()) == clients })
+			rig.eventually("all requests have arrived", func() bool { return len(server.got()) == clients })
 			for b.Loop() {
 			}
 			b.ReportMetric(float64(memoryInUse()-before)/clients, "B/client")
@@ -67,7 +68,7 @@
 	}
 }
 
-// inUse is what the heap and the stacks take.
+// memoryInUse returns the bytes that the heap and the stacks take after a garbage collection.
 func memoryInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/router/dataplane/client.go
+++ b/internal/router/dataplane/client.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. It returns false if none arrives before the idle timeout
-// or the end of the connection.
+// awaitRequest waits for the first byte of a request. It returns false if none arrives before the idle
+// timeout or the end of the connection.
 func (c *client) awaitRequest() bool {
 	if c.socket.hasBufferedInput() {
 		return true
--- a/internal/router/dataplane/configchange_test.go
+++ b/internal/router/dataplane/configchange_test.go
@@ -11,21 +11,22 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// changeConfig puts a configuration in force, as the agent does.
+// changeConfig replaces the configuration, as the agent does.
 func (s *fakeState) changeConfig(config *fleetconfig.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = config
 }
 
-// replaceTable puts a table of servers in force, as the agent does.
+// replaceTable replaces the table of servers, as the agent does.
 func (s *fakeState) replaceTable(table *catalog.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table = table
 }
 
-// respondAfter has a handler respond once released closes. began gets a value for each request that waits.
+// respondAfter returns a handler that responds when released is closed. It sends a value on began for each
+// request that waits.
 func respondAfter(released chan struct{}, began chan<- struct{}, respond handler) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		began <- struct{}{}
@@ -34,8 +35,8 @@
 	}
 }
 
-// startStreamUntil has a handler send the head and the first event of a stream of two, and the other one once
-// released closes.
+// startStreamUntil returns a handler that sends the head and the first of two events of a stream, and the
+// second one when released is closed. It sends a value on began after the first event.
 func startStreamUntil(released chan struct{}, began chan<- struct{}) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(req, "s")+chunk(eventText(1)))
@@ -46,9 +47,9 @@
 	}
 }
 
-// TestChangesOfTheConfigurationEndNoRequest: requests that a process has read are answered by the
-// configuration under which they were read, whatever comes into force meanwhile.
-func TestChangesOfTheConfigurationEndNoRequest(t *testing.T) {
+// A request in flight is answered according to the configuration under which it was read, even if that is
+// replaced before the response.
+func TestConfigChangesDoNotAffectRequestsInFlight(t *testing.T) {
 	changes := []struct {
 		name   string
 		change func(c *qt.C, state *fakeState)
@@ -68,7 +69,7 @@
 	}
 	for _, kind := range []struct {
 		name, route string
-		held        func(released chan struct{}, began chan<- struct{}) handler
+		newHandler  func(released chan struct{}, began chan<- struct{}) handler
 		body        string
 	}{
 		{"a lookup", "safe", func(released chan struct{}, began chan<- struct{}) handler {
@@ -82,7 +83,7 @@
 		for _, change := range changes {
 			t.Run(kind.name+", "+change.name, func(t *testing.T) {
 				released, began := make(chan struct{}), make(chan struct{}, 9)
-				servers := newLookupServers(t, kind.held(released, began))
+				servers := newLookupServers(t, kind.newHandler(released, began))
 				rig := newRig(t, nil, servers...)
 				client := rig.dial()
 				client.send("POST", "/"+kind.route+"/", "a", "body")
@@ -99,17 +100,17 @@
 	}
 }
 
-// TestStreamIsResumedAfterItsRouteIsRemoved: what follows a broken call of a request goes by the
-// configuration under which the request was read.
+// A broken stream is resumed according to the configuration under which its request was read, even if that
+// has been replaced.
 func TestStreamIsResumedAfterItsRouteIsRemoved(t *testing.T) {
 	released, began := make(chan struct{}), make(chan struct{}, 9)
-	breaksOff := func(req *http1.Request, w io.Writer) bool {
+	breakOff := func(req *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(req, "first")+chunk(eventText(1)))
 		began <- struct{}{}
 		<-released
 		return false
 	}
-	servers := newLookupServers(t, inTurn(breaksOff, resumesUntil(3)))
+	servers := newLookupServers(t, inTurn(breakOff, resumesUntil(3)))
 	rig := newRig(t, nil, servers...)
 	client := rig.dial()
 	client.send("POST", "/stream/", "a", "")
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -12,25 +12,25 @@
 	"cresshub/internal/router/catalog"
 )
 
-// deadlineOf is the time that a call was given, in milliseconds; 0 where none is told.
+// deadlineOf returns the deadline in the header of a call in milliseconds, 0 if there is none.
 func deadlineOf(req *http1.Request) int { return parseCount(req.Header.Get(deadlineHeader)) }
 
-// Every call tells its server what is left of the client's time: safe and unsafe requests, streams, prefill
-// and what follows it, and a retry so much less as the previous call took.
+// Every call tells its server how much of the client's deadline is left, for safe and unsafe requests and for
+// streams. In a retry that is less by the time that the previous call took.
 func TestEveryCallCarriesTheTimeLeft(t *testing.T) {
 	ended := make(chan string, 9)
-	begins := func(req *http1.Request, w io.Writer) bool {
+	startStreamAndStall := func(req *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(req, "s")+chunk(eventText(1)))
 		return neverAnswer(ended)(req, w)
 	}
 	for _, test := range []struct {
 		name, route   string
 		first, second handler
-		shorter       int // milliseconds that the first call takes at least, from its start on
+		minFirstCall  int // least duration of the first call in milliseconds
 	}{
 		{"stalled", "safe", neverAnswer(ended), respondOK("x"), 1500},
 		{"stalled before the stream", "stream", neverAnswer(ended), streamEvents(1, 3, true), 1500},
-		{"stalled within the stream", "stream", begins, resumesUntil(3), 1000},
+		{"stalled within the stream", "stream", startStreamAndStall, resumesUntil(3), 1000},
 		{"full", "unsafe", rejectFull, respondOK("x"), 0},
 		{"full", "firm", rejectFull, streamEvents(1, 3, true), 0},
 		{"server replaced", "unsafe", rejectReplaced, respondOK("x"), 0},
@@ -47,9 +47,8 @@
 			rig.Assert(calls, qt.HasLen, 2)
 			first, second := deadlineOf(calls[0]), deadlineOf(calls[1])
 			rig.Assert(first > 0 && first <= 15000, qt.IsTrue, qt.Commentf("%d", first))
-			// The first call's time runs from its start, which is after the request's arrival and before its
-			// deadline is written.
-			rig.Assert(second > 0 && second <= 15000-test.shorter, qt.IsTrue,
+			// The first call starts after the request has arrived and before its deadline header is written.
+			rig.Assert(second > 0 && second <= 15000-test.minFirstCall, qt.IsTrue,
 				qt.Commentf("%d after %d", second, first))
 			rig.Assert(second <= first, qt.IsTrue, qt.Commentf("%d after %d", second, first))
 		})
@@ -59,38 +58,40 @@
 func TestPrefillCallsCarryTheTimeLeft(t *testing.T) {
 	t.Parallel()
 	ended := make(chan string, 9)
-	for _, read := range []handler{respondHandle("h"), neverAnswer(ended), rejectFull} {
-		prefillers, decoders := newModelServers(t, inTurn(read, respondHandle("h")), streamEvents(1, 3, true))
+	for _, prefill := range []handler{respondHandle("h"), neverAnswer(ended), rejectFull} {
+		prefillers, decoders := newModelServers(t, inTurn(prefill, respondHandle("h")), streamEvents(1, 3, true))
 		rig := newRig(t, nil, append(prefillers, decoders...)...)
 		rig.useMinPrefillTimeout()
 		response := rig.dial().do("POST", "/modelfirm/", "a", "prompt", "Cresshub-Deadline-Ms: 15000")
 		rig.Assert(response.Status, qt.Equals, 200)
-		before := 15000
+		previous := 15000
 		for _, server := range append(prefillers, decoders...) {
 			for _, req := range server.got() {
-				rig.Assert(deadlineOf(req) > 0 && deadlineOf(req) <= before, qt.IsTrue)
-				before = deadlineOf(req)
+				rig.Assert(deadlineOf(req) > 0 && deadlineOf(req) <= previous, qt.IsTrue)
+				previous = deadlineOf(req)
 			}
 		}
 	}
 }
 
-// A client that names no deadline, or none that can be parsed, has the route's timeout.
+// Requests without a deadline, with one that cannot be parsed, or with one beyond the route's timeout get the
+// route's timeout.
 func TestCallsWithoutADeadlineCarryTheTimeout(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, nil, server)
 	for i, fields := range [][]string{nil, {"Cresshub-Deadline-Ms: soon"}, {"Cresshub-Deadline-Ms: 90000"}} {
 		rig.dial().do("POST", "/unsafe/", fmt.Sprint(i), "", fields...)
-		told := deadlineOf(server.got()[i])
-		rig.Assert(told > 0 && told <= int(routeTimeout.Milliseconds()), qt.IsTrue, qt.Commentf("%d", told))
+		deadline := deadlineOf(server.got()[i])
+		rig.Assert(deadline > 0 && deadline <= int(routeTimeout.Milliseconds()), qt.IsTrue,
+			qt.Commentf("%d", deadline))
 	}
 }
 
-// A request that would last longer than its route's timeout is ended by then, however long the client would
-// wait and whatever its server has sent so far.
+// A request ends by its route's timeout, even if the client's deadline is later, and whatever its server has
+// sent so far.
 func TestRouteTimeoutEndsEveryKindOfRequest(t *testing.T) {
 	ended := make(chan string, 99)
-	for name, part := range map[string]func(req *http1.Request) string{
+	for name, partialResponse := range map[string]func(req *http1.Request) string{
 		"nothing":        func(*http1.Request) string { return "" },
 		"a part of head": func(req *http1.Request) string { return responseHead(req, 200, stamp) },
 		"a part of body": func(req *http1.Request) string {
@@ -101,21 +102,21 @@
 		for _, route := range []string{"safe", "unsafe", "stream", "firm", "model", "modelfirm"} {
 			t.Run(route+" "+name, func(t *testing.T) {
 				t.Parallel()
-				answer := func(req *http1.Request, w io.Writer) bool {
-					io.WriteString(w, part(req))
+				respondAndStall := func(req *http1.Request, w io.Writer) bool {
+					io.WriteString(w, partialResponse(req))
 					return neverAnswer(ended)(req, w)
 				}
-				server := newFakeServer(t, "i-1", "lookup", "", answer)
-				reader := newFakeServer(t, "i-r", "language", catalog.Prefill, respondHandle("h"))
-				writer := newFakeServer(t, "i-w", "language", catalog.Decode, answer)
-				rig := newRig(t, nil, server, reader, writer)
+				server := newFakeServer(t, "i-1", "lookup", "", respondAndStall)
+				prefiller := newFakeServer(t, "i-r", "language", catalog.Prefill, respondHandle("h"))
+				decoder := newFakeServer(t, "i-w", "language", catalog.Decode, respondAndStall)
+				rig := newRig(t, nil, server, prefiller, decoder)
 				var got clientResult
-				timesOut := []*fakeServer{server, writer}
-				rig.retryUntilReceived(200*time.Millisecond, timesOut, func(timeout time.Duration) int {
+				stalledServers := []*fakeServer{server, decoder}
+				rig.retryUntilReceived(200*time.Millisecond, stalledServers, func(timeout time.Duration) int {
 					rig.route(route).Timeout = timeout
 					client := rig.dial()
 					client.send("POST", "/"+route+"/", "a", "", "Cresshub-Deadline-Ms: 60000")
-					got = client.awaitResult() // far within the client's deadline, or the test fails
+					got = client.awaitResult() // fails the test long before the client's deadline
 					return got.status
 				})
 				if name == "an event" && got.status == 200 {
--- a/internal/router/dataplane/doc.go
+++ b/internal/router/dataplane/doc.go
@@ -41,7 +41,7 @@
 //
 // Proxy's exported methods may be called from any goroutine. A client's connection is served by one
 // goroutine, which owns its requests, roundTrips, calls and relays. Other goroutines call only
-// client.closeIfIdle, client.abortRequest and roundTrip.stop, when the client disconnects or the process ends.
-// Two short-lived goroutines wait on a socket on behalf of its owner: disconnectWatcher on the client's,
-// watchEarlyResponse on a server's.
+// client.closeIfIdle, client.abortRequest and roundTrip.stop, when the client disconnects or the process
+// ends. Two short-lived goroutines wait on a socket on behalf of its owner: disconnectWatcher on the
+// client's, watchEarlyResponse on a server's.
 package dataplane
--- a/internal/router/dataplane/drain_test.go
+++ b/internal/router/dataplane/drain_test.go
@@ -18,9 +18,9 @@
 	"cresshub/internal/router/scheduler"
 )
 
-func TestDisconnectEndsTheCall(t *testing.T) {
+func TestDisconnectAbortsTheCall(t *testing.T) {
 	ended := make(chan string, 9)
-	beginning := func(req *http1.Request, w io.Writer) bool {
+	startAndStall := func(req *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(req, "s")+chunk(eventText(1)))
 		return neverAnswer(ended)(req, w)
 	}
@@ -30,19 +30,19 @@
 	}{
 		"unsafe, before the answer": {"unsafe", neverAnswer(ended)},
 		"safe, before the answer":   {"safe", neverAnswer(ended)},
-		"within a stream":           {"stream", beginning},
-		"within a firm stream":      {"firm", beginning},
+		"within a stream":           {"stream", startAndStall},
+		"within a firm stream":      {"firm", startAndStall},
 	} {
 		t.Run(name, func(t *testing.T) {
 			servers := newLookupServers(t, test.answer)
 			rig := newRig(t, nil, servers...)
 			client := rig.dial()
 			client.send("POST", "/"+test.route+"/", "a", "")
-			rig.eventually("it came", func() bool { return requestsReceived(servers) == 1 })
+			rig.eventually("the request has arrived", func() bool { return requestsReceived(servers) == 1 })
 			client.Close()
 			rig.Assert(<-ended, qt.Equals, "a")
 			rig.awaitCallsEnded()
-			rig.eventually("the client is gone", func() bool { return len(rig.proxy.connectedClients()) == 0 })
+			rig.eventually("the client is removed", func() bool { return len(rig.proxy.connectedClients()) == 0 })
 			rig.Assert(requestsReceived(servers), qt.Equals, 1)
 			rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 			rig.Assert(rig.proxy.Stats().ClientsDisconnected, qt.Equals, int64(1))
@@ -50,8 +50,8 @@
 	}
 }
 
-// A client that has sent more than one request and disconnects is noticed as soon as any other. Otherwise
-// its call would count as timed out.
+// The disconnect of a client is detected at once even if bytes of its next request wait to be read. Otherwise
+// the call in flight would go on until it counts as timed out.
 func TestDisconnectBehindAPipelinedRequest(t *testing.T) {
 	const next = "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: b\r\n"
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
@@ -59,28 +59,29 @@
 			for _, later := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, reset %t, later %t", route, reset, later), func(t *testing.T) {
 					t.Parallel()
-					gone := make(chan string, 9)
-					server := newFakeServer(t, "i-1", "lookup", "", neverAnswer(gone))
+					ended := make(chan string, 9)
+					server := newFakeServer(t, "i-1", "lookup", "", neverAnswer(ended))
 					rig := newRig(t, nil, server)
 					client := rig.dial()
 					first := fmt.Sprintf("POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n%s", route,
 						contentLength(""))
 					if later {
 						io.WriteString(client, first)
-						rig.eventually("it came", func() bool { return len(server.got()) == 1 })
+						rig.eventually("the request has arrived", func() bool { return len(server.got()) == 1 })
 						io.WriteString(client, next)
 					} else {
 						io.WriteString(client, first+next)
-						rig.eventually("it came", func() bool { return len(server.got()) == 1 })
+						rig.eventually("the request has arrived", func() bool { return len(server.got()) == 1 })
 					}
 					if reset {
 						client.Conn.(*net.TCPConn).SetLinger(0)
 					}
 					client.Close()
-					rig.Assert(<-gone, qt.Equals, "a")
+					rig.Assert(<-ended, qt.Equals, "a")
 					rig.awaitCallsEnded()
 					rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
-					rig.eventually("the client is gone", func() bool { return len(rig.proxy.connectedClients()) == 0 })
+					rig.eventually("the client is removed",
+						func() bool { return len(rig.proxy.connectedClients()) == 0 })
 					rig.Assert(server.got(), qt.HasLen, 1)
 				})
 			}
@@ -88,7 +89,9 @@
 	}
 }
 
-func TestDrainAnswersWhatWasRead(t *testing.T) {
+// Requests in flight at the start of a drain, and those that arrive soon after it on open or new connections,
+// are answered with Connection: close. Idle connections are closed.
+func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	proceed := make(chan bool)
 	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
 		<-proceed
@@ -99,19 +102,19 @@
 	rig.Assert(idle.do("GET", "/nowhere/", "i", "").Close, qt.IsFalse)
 	client.send("POST", "/unsafe/", "a", "")
 	io.WriteString(slow, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: b\r\nContent-Le")
-	rig.eventually("it came", func() bool { return len(server.got()) == 1 })
-	rig.eventually("all are there", func() bool { return len(rig.proxy.connectedClients()) == 3 })
+	rig.eventually("the request has arrived", func() bool { return len(server.got()) == 1 })
+	rig.eventually("all clients are connected", func() bool { return len(rig.proxy.connectedClients()) == 3 })
 
 	rig.proxy.Drain()
 	rig.proxy.Drain()
-	_, err := idle.in.ReadByte() // it is closed after a little while, without a request
+	_, err := idle.in.ReadByte() // closed after drainIdleGrace
 	rig.Assert(err, qt.Equals, io.EOF)
 
-	rig.backdateDrain(-testTimeout) // neither of them is late, however busy the machine is
-	late := rig.dial()              // the listener is still there
+	rig.backdateDrain(-testTimeout) // so that no request is late, however busy the machine is
+	late := rig.dial()              // the listener is still open
 	late.send("POST", "/unsafe/", "c", "")
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
-	rig.eventually("they came", func() bool { return len(server.got()) == 3 })
+	rig.eventually("all requests have arrived", func() bool { return len(server.got()) == 3 })
 	rig.listener.Close()
 	close(proceed)
 	for _, client := range []*testClient{client, slow, late} {
@@ -124,7 +127,7 @@
 	rig.Assert(rig.proxy.connectedClients(), qt.HasLen, 0)
 }
 
-// awaitNoClients waits until every client has disconnected.
+// awaitNoClients waits until no client is connected any more.
 func (r *testRig) awaitNoClients() {
 	r.Helper()
 	end := time.Now().Add(testTimeout)
@@ -132,8 +135,8 @@
 	r.Assert(r.proxy.connectedClients(), qt.HasLen, 0)
 }
 
-// backdateDrain begins a drain, unless it has begun, and lets it look as if it had begun that long ago; less than
-// 0 is a moment to come.
+// backdateDrain begins a drain, unless one has begun, and sets its start to that long ago. A negative value
+// is a start in the future.
 func (r *testRig) backdateDrain(ago time.Duration) {
 	r.proxy.Drain()
 	r.proxy.mu.Lock()
@@ -141,14 +144,14 @@
 	r.proxy.drainStarted = time.Now().Add(-ago)
 }
 
-// A request that is read late in a drain may last longer than the process: its client is told to send it
-// elsewhere, and no server gets it.
+// A request that is read late in a drain might outlast the process. It is rejected with 503, so that its
+// client sends it elsewhere, and no server gets it.
 func TestLateRequestsOfADrainAreRejected(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("done"))
 	rig := newRig(t, nil, server)
 	slow := rig.dial()
 	io.WriteString(slow, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\nContent-Le")
-	rig.eventually("it is there", func() bool { return len(rig.proxy.connectedClients()) == 1 })
+	rig.eventually("the client is connected", func() bool { return len(rig.proxy.connectedClients()) == 1 })
 	rig.backdateDrain(drainAcceptTime + time.Millisecond)
 	io.WriteString(slow, "ngth: 2\r\n\r\nhi")
 	response, err := slow.read()
@@ -160,8 +163,8 @@
 	rig.Assert(server.got(), qt.HasLen, 0)
 }
 
-// A stream that began before a drain did not say that its connection ends. Late in the drain the connection
-// accepts no further request all the same.
+// The head of a stream that began before a drain does not announce the end of its connection. Late in the
+// drain the connection accepts no further request all the same.
 func TestKeepAliveConnectionsEndLateInADrain(t *testing.T) {
 	proceed := make(chan bool)
 	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
@@ -173,7 +176,8 @@
 	rig := newRig(t, nil, server)
 	client := rig.dial()
 	client.send("POST", "/stream/", "a", "")
-	rig.eventually("its first event has passed", func() bool { _, err := client.in.Peek(1); return err == nil })
+	rig.eventually("its first event is forwarded",
+		func() bool { _, err := client.in.Peek(1); return err == nil })
 	rig.backdateDrain(drainAcceptTime + time.Millisecond)
 	close(proceed)
 	response, err := client.read()
@@ -193,7 +197,7 @@
 	rig := newRig(t, nil, server)
 	client := rig.dial()
 	client.send("POST", "/unsafe/", "a", "")
-	rig.eventually("it came", func() bool { return len(server.got()) == 1 })
+	rig.eventually("the request has arrived", func() bool { return len(server.got()) == 1 })
 	rig.proxy.Drain()
 	rig.proxy.Wait(time.Now().Add(100*time.Millisecond), time.Now().Add(testTimeout))
 	response, err := client.read()
@@ -202,9 +206,10 @@
 	<-ended
 }
 
-// A request that arrives within the grace of a drain is answered. One that this process, not scheduled for a
-// while, sent later proves nothing: its connection may have been closed.
-func TestRequestsReadInADrainOfAnIdleConnection(t *testing.T) {
+// A request that arrives on an idle connection within drainIdleGrace is answered. If this process was not
+// scheduled for a while and sent the request later, that proves nothing, because the connection may have been
+// closed; the test then tries again.
+func TestRequestsWithinTheDrainGraceAreAnswered(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	for end, inTime := time.Now().Add(testTimeout), false; !inTime; {
 		rig := newRig(t, nil, server)
@@ -239,7 +244,7 @@
 		client.send("POST", "/unsafe/", "a", "")
 		waiting = append(waiting, client)
 	}
-	rig.eventually("they came", func() bool { return len(server.got()) == 2 })
+	rig.eventually("both requests have arrived", func() bool { return len(server.got()) == 2 })
 	rig.Assert(rig.dial().do("POST", "/unsafe/", "b", "").Status, qt.Equals, 503)
 	rig.Assert(server.got(), qt.HasLen, 2)
 	for _, client := range waiting {
@@ -263,9 +268,10 @@
 	})
 }
 
-// The bytes behind the last request that is answered must not take the response with them. They are there
-// when it is answered: a client that sends them later finds that the connection has ended.
-func TestResponseSurvivesWhatFollowsIt(t *testing.T) {
+// Closing a connection on which unread bytes wait would reset it, and the client could lose the last
+// response. The client sends the bytes before that response: if it sent them later, the connection would be
+// closed already.
+func TestResponseSurvivesUnreadBytesBehindItsRequest(t *testing.T) {
 	sent := make(chan bool)
 	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
 		<-sent
@@ -297,7 +303,8 @@
 	rig.eventually("the connection is removed", func() bool { return len(rig.proxy.connectedClients()) == 1 })
 }
 
-// Whatever was forwarded to a server is answered completely, though idle connections are closed meanwhile.
+// Every request that reaches a server during a drain is answered completely, although idle connections are
+// being closed.
 func TestDrainUnderLoad(t *testing.T) {
 	for range 5 {
 		server := newFakeServer(t, "i-1", "lookup", "", respondOK("done"))
@@ -343,28 +350,28 @@
 		}
 		for _, req := range server.got() {
 			id := req.Header.Get(tryIDHeader)
-			rig.Assert(got[id], qt.IsTrue, qt.Commentf("%s came to the server and was not answered", id))
+			rig.Assert(got[id], qt.IsTrue, qt.Commentf("%s reached the server and was not answered", id))
 		}
 	}
 }
 
-// A process that was not scheduled for a while, or was frozen, is late with the responses that were due
-// meanwhile. It sends them all the same: to end the connection would tell the client nothing.
+// A process that was frozen or not scheduled for a while sends its responses late, after their deadlines. It
+// still sends them, because closing the connections would tell the clients nothing.
 func TestLateResponsesAreSent(t *testing.T) {
 	rig := newRig(t, nil)
-	synctest.Test(t, func(t *testing.T) { // the client has little time to read it, minWriteTime
+	synctest.Test(t, func(t *testing.T) { // in a bubble, because the client has only minWriteTime to read
 		c := qt.New(t)
-		near, far := net.Pipe()
-		defer far.Close()
-		late := &client{proxy: rig.proxy, socket: &socket{Conn: rig.proxy.clock.Wrap(near)}}
+		proxyConn, clientConn := net.Pipe()
+		defer clientConn.Close()
+		late := &client{proxy: rig.proxy, socket: &socket{Conn: rig.proxy.clock.Wrap(proxyConn)}}
 		req := &request{Request: &http1.Request{Method: "GET"}, tryID: "a",
 			deadline: time.Now().Add(-time.Second)}
 		go func() {
-			defer near.Close()
+			defer proxyConn.Close()
 			late.socket.SetWriteDeadline(req.writeDeadline())
 			late.sendLocalReply(req, errNoRoute)
 		}()
-		response, err := (&testClient{Conn: far, in: bufio.NewReader(far)}).read()
+		response, err := (&testClient{Conn: clientConn, in: bufio.NewReader(clientConn)}).read()
 		c.Assert(err, qt.IsNil)
 		c.Assert(response.Status, qt.Equals, 404)
 	})
--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -10,21 +10,20 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// fakeChooser chooses the first server in the table that is not excluded, and records what is reported to
-// it. The lock of lockedChooser guards all but what tests read.
+// fakeChooser chooses the first server in the table that is not excluded, and records what is reported to it.
+// The lock of lockedChooser guards all fields except those that tests read, which mu guards.
 type fakeChooser struct {
-	mu             sync.Mutex
-	table          *catalog.Table
-	noSplit        bool
-	queueDelay     time.Duration
-	inFlight       map[*scheduler.Call]bool // calls in flight
-	endedOutcomes  []scheduler.Outcome
-	unmatchedDones int // calls ended twice, or never begun
-	firstEvents    int
-	loads          []scheduler.Load
-	panicsInChoose atomic.Bool
-	// panicsInObserveLoad has it panic while a call is in flight.
-	panicsInObserveLoad atomic.Bool
+	mu                  sync.Mutex
+	table               *catalog.Table
+	noSplit             bool          // Split returns false
+	queueDelay          time.Duration // returned by QueueDelay
+	inFlight            map[*scheduler.Call]bool
+	endedOutcomes       []scheduler.Outcome // of the calls, in the order in which they ended
+	unmatchedDones      int                 // Done was called for a call that is not in flight
+	firstEvents         int                 // number of calls of FirstEvent
+	loads               []scheduler.Load
+	panicsInChoose      atomic.Bool // Choose panics, before the call begins
+	panicsInObserveLoad atomic.Bool // ObserveLoad panics, while a call is in flight
 }
 
 func newFakeChooser() *fakeChooser { return &fakeChooser{inFlight: map[*scheduler.Call]bool{}} }
@@ -38,7 +37,7 @@
 func (f *fakeChooser) Choose(_ time.Duration, req *scheduler.Request, role scheduler.Role,
 	prefillServer *catalog.Server) *scheduler.Call {
 	if f.panicsInChoose.Load() {
-		panic("a mistake")
+		panic("injected by the test")
 	}
 	stage := catalog.NoRole
 	if req.Service.Engine != nil {
@@ -58,7 +57,7 @@
 	return call
 }
 
-// first returns the first server that may be chosen.
+// first returns the first server of a role that is not excluded, nil if there is none.
 func (f *fakeChooser) first(req *scheduler.Request, role catalog.Role) *catalog.Server {
 	for _, s := range f.table.Service(req.Service.Name) {
 		if s.Role == role && !slices.Contains(req.Excluded, s.ID) {
@@ -70,7 +69,7 @@
 
 func (f *fakeChooser) ObserveLoad(_ time.Duration, _ string, load scheduler.Load) {
 	if f.panicsInObserveLoad.Load() {
-		panic("a mistake")
+		panic("injected by the test")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,21 +110,21 @@
 	return scheduler.Alternative{Exists: exists, HasFreeSlot: exists && f.queueDelay == 0}
 }
 
-// outcomes returns how the calls have ended, in their order.
+// outcomes returns the outcomes of the calls, in the order in which they ended.
 func (f *fakeChooser) outcomes() []scheduler.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.endedOutcomes)
 }
 
-// callsBegun is how many calls have begun so far.
+// callsBegun returns how many calls have begun so far.
 func (f *fakeChooser) callsBegun() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.inFlight) + len(f.endedOutcomes) - f.unmatchedDones
 }
 
-// allCallsEndedOnce reports whether each call has ended once.
+// allCallsEndedOnce reports whether each call has ended exactly once.
 func (f *fakeChooser) allCallsEndedOnce() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/router/dataplane/headers.go
+++ b/internal/router/dataplane/headers.go
@@ -18,7 +18,7 @@
 	lastEventHeader = "Last-Event-Id"          // ID of the last event of a stream that the client has
 	modelHeader     = "Cresshub-Model"         // read only by model servers
 	tokensHeader    = "Cresshub-Tokens"        // token counts of the prompt and the output, as "1460,200"
-	prefixHeader    = "Cresshub-Prompt-Prefix" // prompt segments shared with other requests, as "id:tokens,..."
+	prefixHeader    = "Cresshub-Prompt-Prefix" // prompt segments shared by requests, as "id:tokens,..."
 )
 
 // Header fields that only the proxy may set, in calls to servers.
@@ -33,13 +33,13 @@
 
 // Header fields of responses of servers.
 const (
-	stampHeader  = "Cresshub-Server-Stamp" // identifies the run of the request; every success carries it
+	stampHeader  = "Cresshub-Server-Stamp" // ID of the run of the request; every success carries it
 	notRunHeader = "Cresshub-Not-Run"      // the server did not run the request
 	loadHeader   = "Cresshub-Server-Load"  // running and waiting requests, and slots, as "3,0,8"
 )
 
-// parseDeadline parses Cresshub-Deadline-Ms. It returns false for anything but a number of milliseconds from 0
-// to maxDeadline.
+// parseDeadline parses Cresshub-Deadline-Ms. It returns false for anything but a number of milliseconds from
+// 0 to maxDeadline.
 func parseDeadline(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
@@ -48,8 +48,8 @@
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// schedulingRequest returns what the scheduler needs to know of a request, parsed from its header. Fields that
-// cannot be parsed are left out.
+// schedulingRequest returns what the scheduler needs to know of a request, parsed from its header. Fields
+// that cannot be parsed are left out.
 func schedulingRequest(header http1.Header, service *fleetconfig.Service) scheduler.Request {
 	req := scheduler.Request{Service: service}
 	in, out, _ := strings.Cut(header.Get(tokensHeader), ",")
@@ -96,9 +96,10 @@
 	return scheduler.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// reservedFields are the fields of a client's request that are not forwarded. The deadline is replaced for each
-// call. With the others, a client could have its prompt prefilled instead of answered, use another client's
-// prefix cache, raise its priority, or be rejected by every server at the expense of the retry budget.
+// reservedFields are the fields of a client's request that are not forwarded. The deadline is replaced for
+// each call. With the others, a client could have its prompt prefilled instead of answered, use another
+// client's prefix cache, raise its priority, or be rejected by every server at the expense of the retry
+// budget.
 var reservedFields = []string{deadlineHeader, expectServerHeader, stageHeader, kvFromHeader, priorityHeader,
 	expectVersionHeader}
 
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -23,8 +23,8 @@
 	releaseTimeout        = time.Second
 )
 
-// kvHandle identifies the prefix cache of a prompt at the server that has prefilled it. It is used only for the
-// request whose prompt it is.
+// kvHandle identifies the prefix cache of a prompt at the server that has prefilled it. It is used only for
+// the request whose prompt it is.
 type kvHandle struct {
 	server    *catalog.Server
 	id        string
@@ -57,8 +57,8 @@
 	return h != nil && !h.expiresAt.IsZero() && now.After(h.expiresAt)
 }
 
-// parseHandle returns the handle in the response body of a server that has prefilled a prompt. It returns false
-// if there is none, or if it has characters that do not fit into a header field or a path segment.
+// parseHandle returns the handle in the response body of a server that has prefilled a prompt. It returns
+// false if there is none, or if it has characters that do not fit into a header field or a path segment.
 func parseHandle(body []byte) (string, bool) {
 	var response struct {
 		Handle string `json:"claim_ticket"`
--- a/internal/router/dataplane/linger.go
+++ b/internal/router/dataplane/linger.go
@@ -14,8 +14,8 @@
 )
 
 // needsLinger reports whether the client may have sent bytes that were not read. After an incomplete response
-// it returns false: lingering would end the connection in order, and the client must see that the response was
-// broken off.
+// it returns false: lingering would end the connection in order, and the client must see that the response
+// was broken off.
 func (c *client) needsLinger() bool {
 	if c.truncated {
 		return false
--- a/internal/router/dataplane/localreply.go
+++ b/internal/router/dataplane/localreply.go
@@ -94,7 +94,8 @@
 	return response
 }
 
-// countLocalReply counts a reply with status 503, which says that the request has not run, or with 502 or 504.
+// countLocalReply counts a reply with status 503, which says that the request has not run, or with 502 or
+// 504.
 func (c *counters) countLocalReply(status int) {
 	switch status {
 	case http1.StatusServiceUnavailable:
--- a/internal/router/dataplane/malformedrequests_test.go
+++ b/internal/router/dataplane/malformedrequests_test.go
@@ -13,21 +13,21 @@
 	"cresshub/internal/router/fleetconfig"
 )
 
-// shortTimeout is so short that a test waits until it is over.
+// shortTimeout is a timeout that tests wait for.
 const shortTimeout = 50 * time.Millisecond
 
-// limits are the limits of testLimits with other times and sizes.
+// limits returns limits with those timeouts, and with smaller sizes than testLimits.
 func limits(headerTimeout, idleTimeout time.Duration) fleetconfig.Limits {
 	return fleetconfig.Limits{MaxHeaderBytes: 1000, MaxBodyBytes: 100, HeaderTimeout: headerTimeout,
 		IdleTimeout: idleTimeout}
 }
 
-// withLimits is a change for newRig.
+// withLimits returns a change for newRig that sets the limits.
 func withLimits(limits fleetconfig.Limits) func(*agentsettings.Settings, *fakeState) {
 	return func(_ *agentsettings.Settings, state *fakeState) { state.config.Limits = limits }
 }
 
-// setLimits changes the limits for what the proxy reads from now on.
+// setLimits changes the limits for everything that the proxy reads from now on.
 func (r *testRig) setLimits(limits fleetconfig.Limits) {
 	config := *r.state.Config()
 	config.Limits = limits
@@ -72,7 +72,7 @@
 	}
 }
 
-// checkRejected checks that a request that can't be read gets that status, and its connection ends.
+// checkRejected sends text and checks that the response has that status and that its connection is closed.
 func (r *testRig) checkRejected(client *testClient, text string, status int) {
 	r.Helper()
 	io.WriteString(client, text)
@@ -84,8 +84,9 @@
 	r.Assert(err, qt.Equals, io.EOF)
 }
 
-// Only the time in which the rest of the request has to come is short: a client that is not scheduled for a
-// while would otherwise be closed as idle before it has sent a byte.
+// The limits are set when the client is connected already, and only the timeout of the rest of the request is
+// short. Otherwise a client that is not scheduled for a while would be closed as idle before it has sent a
+// byte.
 func TestSlowRequestsAreNotForwarded(t *testing.T) {
 	const begin = "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n"
 	for name, test := range map[string]struct {
@@ -107,10 +108,10 @@
 	}
 }
 
-// awaitIdleClient waits until the only client's request is waited for.
+// awaitIdleClient waits until there is one client and the proxy waits for its request.
 func (r *testRig) awaitIdleClient() {
 	r.Helper()
-	r.eventually("its request is waited for", func() bool {
+	r.eventually("the proxy waits for the client's request", func() bool {
 		clients := r.proxy.connectedClients()
 		if len(clients) != 1 {
 			return false
@@ -121,7 +122,7 @@
 	})
 }
 
-func TestRequestCutOffByItsClientIsNotForwarded(t *testing.T) {
+func TestIncompleteRequestIsNotForwarded(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, nil, server)
 	const half = "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nab"
@@ -130,7 +131,7 @@
 		io.WriteString(client, text)
 		client.Close()
 	}
-	rig.eventually("they are gone", func() bool {
+	rig.eventually("all clients are removed", func() bool {
 		return len(rig.proxy.connectedClients()) == 0 &&
 			rig.proxy.Stats().Clients == 3
 	})
@@ -145,15 +146,15 @@
 
 func TestClientsBeyondTheLimitAreClosed(t *testing.T) {
 	rig := newRig(t, func(s *agentsettings.Settings, _ *fakeState) { s.Descriptors = 0 })
-	var some []*testClient
+	var clients []*testClient
 	for range 16 {
 		client := rig.dial()
 		rig.Assert(client.do("GET", "/nowhere/", "a", "").Status, qt.Equals, 404)
-		some = append(some, client)
+		clients = append(clients, client)
 	}
 	_, err := http1.ReadResponse(rig.dial().in)
 	rig.Assert(err, qt.Not(qt.IsNil))
-	some[0].Close()
-	rig.eventually("a connection is free", func() bool { return len(rig.proxy.connectedClients()) == 15 })
+	clients[0].Close()
+	rig.eventually("a client is removed", func() bool { return len(rig.proxy.connectedClients()) == 15 })
 	rig.Assert(rig.dial().do("GET", "/nowhere/", "a", "").Status, qt.Equals, 404)
 }
--- a/internal/router/dataplane/nextcall.go
+++ b/internal/router/dataplane/nextcall.go
@@ -21,9 +21,9 @@
 	return rt.newCall(scheduler.Serve)
 }
 
-// newCall chooses a server for a call in that role, and charges the call to the retry budget if it is a retry.
-// It returns nil, and records why, if the route allows no further attempt, no server is left, or the budget is
-// used up.
+// newCall chooses a server for a call in that role, and charges the call to the retry budget if it is a
+// retry. It returns nil, and records why, if the route allows no further attempt, no server is left, or the
+// budget is used up.
 func (rt *roundTrip) newCall(role scheduler.Role) *call {
 	if !rt.attempts.allows(role) {
 		rt.trace.setReason(reasonAttemptsUsed)
--- a/internal/router/dataplane/outcome.go
+++ b/internal/router/dataplane/outcome.go
@@ -56,7 +56,8 @@
 	o.failureLog = log.Sample(&zerolog.BurstSampler{Burst: maxFailureLogsPerSecond, Period: time.Second})
 }
 
-// recordOutcome counts how a request ended. A request that was not served is logged with all its failed calls.
+// recordOutcome counts how a request ended. A request that was not served is logged with all its failed
+// calls.
 func (p *Proxy) recordOutcome(rt *roundTrip, outcome requestOutcome, status int) {
 	elapsed := time.Since(rt.request.arrived)
 	p.observer.durations.Observe(elapsed)
--- a/internal/router/dataplane/outcome_test.go
+++ b/internal/router/dataplane/outcome_test.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/router/catalog"
 )
 
-// logLines is a log that tests read.
+// logLines is a log writer whose lines tests read.
 type logLines struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -26,7 +26,7 @@
 	return l.text.Write(line)
 }
 
-// first returns the fields of the first line with a message.
+// first returns the fields of the first line with that message.
 func (l *logLines) first(c *qt.C, message string) map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// TestFailedRequestIsLoggedWithItsCalls: log and metrics say of a request that was not served where it was
-// sent, how each call ended, and why nothing more was tried.
+// The log and the metrics record of a request that was not served where it was sent, how each call ended, and
+// why no further attempt was made.
 func TestFailedRequestIsLoggedWithItsCalls(t *testing.T) {
 	log := &logLines{}
 	broken := newFakeServer(t, "a", "lookup", "", closeUnanswered)
@@ -72,13 +72,13 @@
 	}
 }
 
-// TestLoggedReasonIsTheFinalOne: that no server could prefill the prompt is not why the request ends, where
-// it went on without.
+// The logged reason is that of the last attempt. A failed prefill is not the reason if the request continued
+// without it.
 func TestLoggedReasonIsTheFinalOne(t *testing.T) {
 	log := &logLines{}
-	reader := newFakeServer(t, "r", "language", catalog.Prefill, respondStatus(503, notRunHeader+": full"))
-	writer := newFakeServer(t, "w", "language", catalog.Decode, closeUnanswered)
-	rig := newRig(t, nil, reader, writer)
+	prefiller := newFakeServer(t, "r", "language", catalog.Prefill, respondStatus(503, notRunHeader+": full"))
+	decoder := newFakeServer(t, "w", "language", catalog.Decode, closeUnanswered)
+	rig := newRig(t, nil, prefiller, decoder)
 	rig.proxy.log = zerolog.New(log)
 	rig.proxy.observer.setLogger(rig.proxy.log)
 	rig.Assert(rig.dial().do("POST", "/modelfirm/x", "try-1", "").Status, qt.Equals, 502)
--- a/internal/router/dataplane/panic_test.go
+++ b/internal/router/dataplane/panic_test.go
@@ -6,9 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestPanicWithinACallReleasesWhatItReserved: a panic that one request causes ends its connection alone.
-// Its server does not count as busy for ever, and the connection to the server is closed.
-func TestPanicWithinACallReleasesWhatItReserved(t *testing.T) {
+// A panic during a call closes only the connection of the client whose request caused it. The call does not
+// count as in flight any more, its connection to the server is closed, and the memory of its body is
+// released.
+func TestPanicInACallReleasesItsResources(t *testing.T) {
 	handle := respondStatus(200, stampHeader+": a.1", loadHeader+": 1,0,4")
 	rig := newRig(t, nil, newFakeServer(t, "a", "lookup", "", handle))
 	rig.chooser.panicsInObserveLoad.Store(true)
--- a/internal/router/dataplane/peerload.go
+++ b/internal/router/dataplane/peerload.go
@@ -20,12 +20,12 @@
 	MarkPrefixesSynced(now time.Duration)
 }
 
-// InFlightChanged returns a channel that holds a token if calls to model servers have begun or ended since the
-// previous token was received.
+// InFlightChanged returns a channel that holds a token if calls to model servers have begun or ended since
+// the previous token was received.
 func (p *Proxy) InFlightChanged() <-chan struct{} { return p.chooser.inFlightChanged }
 
-// TakeInFlightLoads returns what this proxy has in flight at the servers in the scope. ChangedServers are those
-// whose load has changed since the previous call.
+// TakeInFlightLoads returns what this proxy has in flight at the servers in the scope. ChangedServers are
+// those whose load has changed since the previous call.
 func (p *Proxy) TakeInFlightLoads(scope scheduler.LoadScope) []scheduler.InFlightLoad {
 	lc := p.chooser
 	lc.mu.Lock()
--- a/internal/router/dataplane/peerload_test.go
+++ b/internal/router/dataplane/peerload_test.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// servedChooser is a fakeChooser of which each server has served a call, or none has.
+// servedChooser is a fakeChooser that returns the same LastSuccess for each server.
 type servedChooser struct {
 	*fakeChooser
 	lastSuccess scheduler.LastSuccess
@@ -17,8 +17,8 @@
 
 func (s *servedChooser) LastSuccess(string) scheduler.LastSuccess { return s.lastSuccess }
 
-// TestLastSuccessHasTheAgeOfTheNewestServedCall: the scheduler has its time on the clock of the Proxy, which
-// other packages don't read.
+// The scheduler measures the time of the last success on the Proxy's clock, which other packages cannot read.
+// The Proxy converts it to an age.
 func TestLastSuccessHasTheAgeOfTheNewestServedCall(t *testing.T) {
 	chooser := &servedChooser{fakeChooser: newFakeChooser()}
 	locked := newLockedChooser("", &fakeState{}, nil, func() time.Duration { return 5 * time.Second })
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -63,8 +63,8 @@
 	return c.finish(failure)
 }
 
-// receiveHandle reads the response to a prefill call and stores its handle in the round trip. The call fails if
-// the response has none.
+// receiveHandle reads the response to a prefill call and stores its handle in the round trip. The call fails
+// if the response has none.
 func (c *call) receiveHandle(response serverResponse) *callFailure {
 	rt := c.roundTrip
 	class := classify(c.responseTraits(response))
--- a/internal/router/dataplane/prefill_test.go
+++ b/internal/router/dataplane/prefill_test.go
@@ -14,7 +14,8 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// respondHandle responds as a prefill server does: with a handle of the prefix cache, or to its release.
+// respondHandle responds as a prefill server does: with a handle of the prefix cache, and with an empty 200
+// to the release of a handle.
 func respondHandle(handle string) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		if req.Method == "DELETE" {
@@ -27,12 +28,12 @@
 	}
 }
 
-// newModelServers starts three prefill and three decode servers. Those of a kind share a handler.
-func newModelServers(t *testing.T, read, write handler) (prefillers, decoders []*fakeServer) {
+// newModelServers starts three prefill servers and three decode servers. Servers of one role share a handler.
+func newModelServers(t *testing.T, prefill, decode handler) (prefillers, decoders []*fakeServer) {
 	t.Helper()
 	for _, n := range []string{"1", "2", "3"} {
-		prefillers = append(prefillers, newFakeServer(t, "i-r"+n, "language", catalog.Prefill, read))
-		decoders = append(decoders, newFakeServer(t, "i-w"+n, "language", catalog.Decode, write))
+		prefillers = append(prefillers, newFakeServer(t, "i-r"+n, "language", catalog.Prefill, prefill))
+		decoders = append(decoders, newFakeServer(t, "i-w"+n, "language", catalog.Decode, decode))
 	}
 	return prefillers, decoders
 }
@@ -49,14 +50,14 @@
 	}
 	rig.Assert(prefillers[0].got(), qt.HasLen, 3)
 	rig.Assert(decoders[0].got(), qt.HasLen, 3)
-	read, write := prefillers[0].got()[0], decoders[0].got()[0]
-	rig.Assert(read.Header.Get(stageHeader), qt.Equals, "reading")
-	rig.Assert(read.Header.Get(kvFromHeader), qt.Equals, "")
-	rig.Assert(read.Header.Get(expectServerHeader), qt.Equals, "i-r1")
-	rig.Assert(write.Header.Get(kvFromHeader), qt.Equals, prefillers[0].Address+"/3fa0")
-	rig.Assert(write.Header.Get(stageHeader), qt.Equals, "")
-	rig.Assert(write.Header.Get(expectServerHeader), qt.Equals, "i-w1")
-	for _, req := range []*http1.Request{read, write} {
+	prefill, decode := prefillers[0].got()[0], decoders[0].got()[0]
+	rig.Assert(prefill.Header.Get(stageHeader), qt.Equals, "reading")
+	rig.Assert(prefill.Header.Get(kvFromHeader), qt.Equals, "")
+	rig.Assert(prefill.Header.Get(expectServerHeader), qt.Equals, "i-r1")
+	rig.Assert(decode.Header.Get(kvFromHeader), qt.Equals, prefillers[0].Address+"/3fa0")
+	rig.Assert(decode.Header.Get(stageHeader), qt.Equals, "")
+	rig.Assert(decode.Header.Get(expectServerHeader), qt.Equals, "i-w1")
+	for _, req := range []*http1.Request{prefill, decode} {
 		rig.Assert(req.Target, qt.Equals, "/modelfirm/x")
 		rig.Assert(string(req.Body), qt.Equals, "prompt")
 		rig.Assert(req.Header.Get(tryIDHeader), qt.Equals, "a0")
@@ -66,100 +67,100 @@
 	rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, int64(2))
 }
 
-func TestWhatFollowsAFailedPrefillOrDecode(t *testing.T) {
-	handle, written := respondHandle("h"), streamEvents(1, 2, true)
+func TestRetriesAfterAFailedPrefillOrDecode(t *testing.T) {
+	handle, stream := respondHandle("h"), streamEvents(1, 2, true)
 	expired := respondStatus(503, "Cresshub-Not-Run: 1", "Cresshub-Server-Load: 1,0,8")
-	read, write, serve := scheduler.Prefill, scheduler.Decode, scheduler.Serve
+	prefill, decode, serve := scheduler.Prefill, scheduler.Decode, scheduler.Serve
 	for _, test := range []struct {
-		name    string
-		route   string
-		prefill []handler // of the prefill servers, in turn
-		decode  []handler // of the decode servers, in turn
-		slack   float64   // retries that are allowed
-		status  int
-		roles   []scheduler.Role // of the calls that came, prefill first
-		retries int64
-		freed   int // handles released
+		name     string
+		route    string
+		prefill  []handler // of the prefill servers, in turn
+		decode   []handler // of the decode servers, in turn
+		slack    float64   // retry slack
+		status   int
+		roles    []scheduler.Role // of the calls that reached a server, prefill first
+		retries  int64
+		released int // handles released
 	}{
 		{
 			name: "prefill rejected", route: "modelfirm",
-			prefill: []handler{rejectFull, handle}, decode: []handler{written},
-			slack: 100, status: 200, roles: []scheduler.Role{read, read, write}, retries: 1,
+			prefill: []handler{rejectFull, handle}, decode: []handler{stream},
+			slack: 100, status: 200, roles: []scheduler.Role{prefill, prefill, decode}, retries: 1,
 		},
 		{
 			name: "prefill rejected and no retry left", route: "modelfirm",
-			prefill: []handler{rejectFull}, decode: []handler{written},
-			status: 503, roles: []scheduler.Role{read},
+			prefill: []handler{rejectFull}, decode: []handler{stream},
+			status: 503, roles: []scheduler.Role{prefill},
 		},
 		{
 			name: "prefill rejected and one attempt allowed", route: "single",
-			prefill: []handler{rejectFull}, decode: []handler{written},
-			slack: 100, status: 503, roles: []scheduler.Role{read},
+			prefill: []handler{rejectFull}, decode: []handler{stream},
+			slack: 100, status: 503, roles: []scheduler.Role{prefill},
 		},
 		{
 			name: "prefill broken off and no retry left", route: "modelfirm",
-			prefill: []handler{closeUnanswered}, decode: []handler{written},
-			status: 503, roles: []scheduler.Role{read},
+			prefill: []handler{closeUnanswered}, decode: []handler{stream},
+			status: 503, roles: []scheduler.Role{prefill},
 		},
 		{
 			name: "prefill broken off and a retry left", route: "modelfirm",
-			prefill: []handler{closeUnanswered, handle}, decode: []handler{written},
-			slack: 100, status: 200, roles: []scheduler.Role{read, read, write}, retries: 2,
+			prefill: []handler{closeUnanswered, handle}, decode: []handler{stream},
+			slack: 100, status: 200, roles: []scheduler.Role{prefill, prefill, decode}, retries: 2,
 		},
 		{
 			name: "prefill broken off and one attempt allowed", route: "single",
-			prefill: []handler{closeUnanswered}, decode: []handler{written},
-			slack: 100, status: 200, roles: []scheduler.Role{read, serve}, retries: 1,
+			prefill: []handler{closeUnanswered}, decode: []handler{stream},
+			slack: 100, status: 200, roles: []scheduler.Role{prefill, serve}, retries: 1,
 		},
 		{
 			name: "prefill answered without a handle", route: "modelfirm",
-			prefill: []handler{respondOK("{}")}, decode: []handler{written},
-			status: 200, roles: []scheduler.Role{read, serve},
+			prefill: []handler{respondOK("{}")}, decode: []handler{stream},
+			status: 200, roles: []scheduler.Role{prefill, serve},
 		},
 		{
 			name: "prefill answered 500", route: "modelfirm",
-			prefill: []handler{respond500}, decode: []handler{written},
-			status: 200, roles: []scheduler.Role{read, serve},
+			prefill: []handler{respond500}, decode: []handler{stream},
+			status: 200, roles: []scheduler.Role{prefill, serve},
 		},
 		{
 			name: "prefill at a replaced server", route: "modelfirm",
-			prefill: []handler{rejectReplaced, handle}, decode: []handler{written},
-			slack: 100, status: 200, roles: []scheduler.Role{read, read, write}, retries: 1,
+			prefill: []handler{rejectReplaced, handle}, decode: []handler{stream},
+			slack: 100, status: 200, roles: []scheduler.Role{prefill, prefill, decode}, retries: 1,
 		},
 		{
 			name: "handle expired", route: "modelfirm",
-			prefill: []handler{handle}, decode: []handler{expired, written},
-			slack: 100, status: 200, roles: []scheduler.Role{read, write, serve}, retries: 1, freed: 1,
+			prefill: []handler{handle}, decode: []handler{expired, stream},
+			slack: 100, status: 200, roles: []scheduler.Role{prefill, decode, serve}, retries: 1, released: 1,
 		},
 		{
 			name: "handle expired and no retry left", route: "modelfirm",
 			prefill: []handler{handle}, decode: []handler{expired},
-			status: 503, roles: []scheduler.Role{read, write}, freed: 1,
+			status: 503, roles: []scheduler.Role{prefill, decode}, released: 1,
 		},
 		{
 			name: "decode rejected", route: "modelfirm",
-			prefill: []handler{handle}, decode: []handler{rejectFull, written},
-			slack: 100, status: 200, roles: []scheduler.Role{read, write, write}, retries: 1,
+			prefill: []handler{handle}, decode: []handler{rejectFull, stream},
+			slack: 100, status: 200, roles: []scheduler.Role{prefill, decode, decode}, retries: 1,
 		},
 		{
 			name: "decode rejected by all", route: "modelfirm",
 			prefill: []handler{handle}, decode: []handler{rejectFull},
-			slack: 100, status: 503, roles: []scheduler.Role{read, write, write, write}, retries: 2, freed: 1,
+			slack: 100, status: 503, roles: []scheduler.Role{prefill, decode, decode, decode}, retries: 2, released: 1,
 		},
 		{
 			name: "decode broken off", route: "modelfirm",
-			prefill: []handler{handle}, decode: []handler{closeUnanswered, written},
-			slack: 100, status: 502, roles: []scheduler.Role{read, write}, freed: 1,
+			prefill: []handler{handle}, decode: []handler{closeUnanswered, stream},
+			slack: 100, status: 502, roles: []scheduler.Role{prefill, decode}, released: 1,
 		},
 		{
 			name: "decode of an idempotent request broken off", route: "model",
-			prefill: []handler{handle}, decode: []handler{closeUnanswered, written},
-			slack: 100, status: 200, roles: []scheduler.Role{read, write, serve}, retries: 1, freed: 1,
+			prefill: []handler{handle}, decode: []handler{closeUnanswered, stream},
+			slack: 100, status: 200, roles: []scheduler.Role{prefill, decode, serve}, retries: 1, released: 1,
 		},
 		{
 			name: "stream broken off and resumed", route: "model",
 			prefill: []handler{handle}, decode: []handler{streamChunks("s1", false, eventText(1)), resumesUntil(2)},
-			slack: 100, status: 200, roles: []scheduler.Role{read, write, serve}, retries: 1,
+			slack: 100, status: 200, roles: []scheduler.Role{prefill, decode, serve}, retries: 1,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -171,14 +172,14 @@
 				rig.Assert(string(response.Body), qt.Equals, eventsText(1, 2))
 			}
 			rig.awaitCallsEnded()
-			rig.eventually("handles are released", func() bool { return releasedHandles(prefillers) == test.freed })
+			rig.eventually("handles are released", func() bool { return releasedHandles(prefillers) == test.released })
 			rig.Assert(receivedRoles(prefillers, decoders), qt.DeepEquals, test.roles)
 			rig.Assert(rig.proxy.Stats().Retries, qt.Equals, test.retries)
 		})
 	}
 }
 
-// releasedHandles is how many calls to release a handle arrived.
+// releasedHandles returns how many calls that release the handle "h" have arrived.
 func releasedHandles(prefillers []*fakeServer) (count int) {
 	for _, server := range prefillers {
 		for _, req := range server.got() {
@@ -190,7 +191,7 @@
 	return count
 }
 
-// receivedRoles returns the roles of all calls that arrived, those of prefill servers first.
+// receivedRoles returns the roles of all calls that have arrived, those at prefill servers first.
 func receivedRoles(prefillers, decoders []*fakeServer) (roles []scheduler.Role) {
 	for _, server := range append(prefillers, decoders...) {
 		for _, req := range server.got() {
@@ -240,7 +241,7 @@
 		rig := newRig(t, nil, append(prefillers, decoders...)...)
 		client := rig.dial()
 		client.send("POST", "/model/", "a", "prompt")
-		rig.eventually("it came", func() bool { return len(prefillers[0].got()) == 1 })
+		rig.eventually("the prefill call has arrived", func() bool { return len(prefillers[0].got()) == 1 })
 		client.Close()
 		rig.Assert(<-ended, qt.Equals, "a")
 		rig.awaitCallsEnded()
@@ -252,7 +253,7 @@
 		rig := newRig(t, nil, append(prefillers, decoders...)...)
 		client := rig.dial()
 		client.send("POST", "/model/", "a", "prompt")
-		rig.eventually("it came", func() bool { return len(decoders[0].got()) == 1 })
+		rig.eventually("the decode call has arrived", func() bool { return len(decoders[0].got()) == 1 })
 		client.Close()
 		rig.Assert(<-ended, qt.Equals, "a")
 		rig.eventually("the handle is released", func() bool { return releasedHandles(prefillers) == 1 })
@@ -264,26 +265,26 @@
 	})
 }
 
-// repeatPrevious handles each request as handle does, and right before each response but the first on a
-// connection it sends the previous one once more.
+// repeatPrevious returns a handler that responds as handle does, but sends the previous response on the
+// connection once more before each response except the first.
 func repeatPrevious(handle handler) handler {
 	var mu sync.Mutex
-	before := map[io.Writer]string{}
+	previous := map[io.Writer]string{}
 	return func(req *http1.Request, w io.Writer) bool {
 		var text strings.Builder
-		goesOn := handle(req, &text)
+		keepOpen := handle(req, &text)
 		mu.Lock()
-		surplus := before[w]
-		before[w] = text.String()
+		surplus := previous[w]
+		previous[w] = text.String()
 		mu.Unlock()
 		io.WriteString(w, surplus+text.String())
-		return goesOn
+		return keepOpen
 	}
 }
 
-// A server that rejects a call a second time, too late, does not reject the next call, which runs: else the
-// request would run twice or be rejected though it has run.
-func TestSurplusRejectionIsNotTheNextOnes(t *testing.T) {
+// If a server sends the rejection of a call a second time, it must not be taken for the response to the next
+// call, which runs. Otherwise the request would run twice, or be rejected although it has run.
+func TestSurplusRejectionIsNotTakenForTheNextResponse(t *testing.T) {
 	expired := respondStatus(503, "Cresshub-Not-Run: 1", "Cresshub-Server-Load: 1,0,8")
 	prefiller := newFakeServer(t, "i-r", "language", catalog.Prefill, respondHandle("h"))
 	var decoders []*fakeServer
@@ -299,7 +300,7 @@
 	rig.Assert(decoders[1].got(), qt.HasLen, 0)
 }
 
-// TestModelServersGetThePriorityOfTheRoute: the router sets it on each call, whatever a client sent.
+// The proxy sets the Priority field of each call to a model server, whatever the client sent.
 func TestModelServersGetThePriorityOfTheRoute(t *testing.T) {
 	prefillers, decoders := newModelServers(t, respondHandle("h"), inTurn(rejectFull, streamEvents(1, 2, true)))
 	rig := newRig(t, nil, append(prefillers, decoders...)...)
--- a/internal/router/dataplane/proxy_test.go
+++ b/internal/router/dataplane/proxy_test.go
@@ -48,17 +48,16 @@
 	rig.dial().do("GET", "/safe/", "a1", "", "Kv-From: 10.0.0.1:1/x", "Cresshub-Stage: reading", "Priority: 0",
 		"Expect-Version: 9", "Cresshub-Expect-Server: other", "Connection: X-Hop", "X-Hop: 1", "TE: trailers")
 	got := server.got()[0].Header
-	none := []string{kvFromHeader, stageHeader, priorityHeader, expectVersionHeader, "X-Hop", "TE"}
-	for _, name := range none {
+	dropped := []string{kvFromHeader, stageHeader, priorityHeader, expectVersionHeader, "X-Hop", "TE"}
+	for _, name := range dropped {
 		rig.Assert(got.Get(name), qt.Equals, "", qt.Commentf("%s", name))
 	}
 	rig.Assert(got.Get(expectServerHeader), qt.Equals, "i-1")
 	rig.Assert(got.Repeated(expectServerHeader), qt.Equals, "")
 }
 
-// Each call tells a model server what the client said of the request: prefill, a second one after a
-// rejection, decode, a retry and the resumption of a stream; and the reserved fields come from the proxy
-// alone.
+// Every call to a model server carries the client's fields: prefill, its retry after a rejection, decode, its
+// retry, and the resumption of a stream. Reserved fields come only from the proxy.
 func TestEachCallCarriesTheClientsFields(t *testing.T) {
 	prefillers, decoders := newModelServers(t, inTurn(rejectFull, respondHandle("h")),
 		inTurn(rejectFull, streamChunks("s", false, eventText(1)), resumesUntil(3)))
@@ -97,10 +96,10 @@
 func TestRouteTimeoutBoundsTheDeadline(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, nil, server)
-	most := int(routeTimeout.Milliseconds())
-	rig.dial().do("GET", "/safe/", "a1", "", fmt.Sprintf("Cresshub-Deadline-Ms: %d", 2*most))
+	timeoutMs := int(routeTimeout.Milliseconds())
+	rig.dial().do("GET", "/safe/", "a1", "", fmt.Sprintf("Cresshub-Deadline-Ms: %d", 2*timeoutMs))
 	left := parseCount(server.got()[0].Header.Get(deadlineHeader))
-	rig.Assert(left <= most-100, qt.IsTrue, qt.Commentf("%d ms left of %d", left, most))
+	rig.Assert(left <= timeoutMs-100, qt.IsTrue, qt.Commentf("%d ms left of %d", left, timeoutMs))
 }
 
 func TestLocalRepliesWithoutAServer(t *testing.T) {
@@ -115,10 +114,11 @@
 	response = client.do("GET", "/safe/", "a3", "", "Cresshub-Deadline-Ms: 0")
 	rig.Assert(response.Status, qt.Equals, 503)
 	rig.Assert(server.got(), qt.HasLen, 0)
-	rig.Assert(client.do("GET", "/safe/", "a4", "").Status, qt.Equals, 200) // on the same connection
+	// The connection stays open after local replies.
+	rig.Assert(client.do("GET", "/safe/", "a4", "").Status, qt.Equals, 200)
 }
 
-func TestRejectsWhatCannotStartInTime(t *testing.T) {
+func TestRejectsRequestsThatCannotStartInTime(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, nil, server)
 	rig.chooser.queueDelay = 20 * testTimeout
@@ -128,14 +128,14 @@
 	rig.Assert(server.got(), qt.HasLen, 0)
 }
 
-func TestWithoutAConfiguration(t *testing.T) {
+func TestRequestsBeforeAConfigurationAreRejected(t *testing.T) {
 	rig := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.config = nil })
 	response := rig.dial().do("GET", "/safe/", "a1", "")
 	rig.Assert(response.Status, qt.Equals, 503)
 	rig.Assert(response.Header.Get("Retry-After"), qt.Equals, "0.300")
 }
 
-func TestRequestsBeforeATableAreRejected(t *testing.T) {
+func TestRequestsBeforeAServerTableAreRejected(t *testing.T) {
 	rig := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.table = nil })
 	rig.Assert(rig.dial().do("GET", "/safe/", "a1", "").Status, qt.Equals, 503)
 }
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestBodies(t *testing.T) {
+func TestRequestBodiesAreForwarded(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
 		return respondOK(string(req.Body))(req, w)
 	})
@@ -178,7 +178,7 @@
 	rig.Assert(err, qt.IsNil)
 	rig.Assert(string(response.Body), qt.Equals, large)
 
-	// The write deadline of the previous request has passed by now.
+	// Sets the write deadline to the past, as if that of the previous request had passed.
 	rig.proxy.connectedClients()[0].socket.SetWriteDeadline(time.Unix(1, 0))
 	io.WriteString(client, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"+
 		"Cresshub-Try-Id: a3\r\n\r\n")
@@ -190,7 +190,7 @@
 	response, err = client.read()
 	rig.Assert(err, qt.IsNil)
 	rig.Assert(string(response.Body), qt.Equals, "body")
-	rig.eventually("the memory is given back", func() bool { return rig.proxy.bodies.Used() == 0 })
+	rig.eventually("the memory is released", func() bool { return rig.proxy.bodies.Used() == 0 })
 }
 
 func TestHEADAndHTTP10ClientsAreServed(t *testing.T) {
@@ -217,7 +217,7 @@
 	rig.Assert(err, qt.Equals, io.EOF)
 }
 
-func TestNoMemoryForABody(t *testing.T) {
+func TestBodiesBeyondTheMemoryBudgetAreRejected(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
 	rig := newRig(t, func(settings *agentsettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 5000 },
 		server)
@@ -225,7 +225,7 @@
 	rig.Assert(response.Status, qt.Equals, 503)
 	rig.Assert(response.Close, qt.IsTrue)
 	rig.Assert(server.got(), qt.HasLen, 0)
-	rig.eventually("the memory is given back", func() bool { return rig.proxy.bodies.Used() == 0 })
+	rig.eventually("the memory is released", func() bool { return rig.proxy.bodies.Used() == 0 })
 	rig.Assert(rig.dial().do("POST", "/unsafe/", "a2", strings.Repeat("x", 4000)).Status, qt.Equals, 200)
 }
 
--- a/internal/router/dataplane/readrequest.go
+++ b/internal/router/dataplane/readrequest.go
@@ -14,8 +14,8 @@
 // initialBodyBuffer is the initial buffer size for a body of unknown length, in bytes.
 const initialBodyBuffer = 4 << 10
 
-// nonRepeatableFields are the fields that a request may contain only once: if there were two, the proxy and the
-// server might each use a different one.
+// nonRepeatableFields are the fields that a request may contain only once: if there were two, the proxy and
+// the server might each use a different one.
 var nonRepeatableFields = []string{"Host", tryIDHeader, lastEventHeader}
 
 // readRequest reads one request with its body, whose memory is reserved from the body budget. The error is a
@@ -42,8 +42,8 @@
 	return req, nil
 }
 
-// readError returns the local reply to a request that could not be read because of err, or err itself if there
-// is none.
+// readError returns the local reply to a request that could not be read because of err, or err itself if
+// there is none.
 func (c *client) readError(err error) error {
 	var malformed *http1.MalformedError
 	var reply *localReplyError
@@ -101,8 +101,8 @@
 	return err
 }
 
-// growBody enlarges the full buffer of a body, to at most one byte more than the limit: a body that fills this
-// byte is too large.
+// growBody enlarges the full buffer of a body, to at most one byte more than the limit: a body that fills
+// this byte is too large.
 func (c *client) growBody(req *request, body *http1.Body, maxBytes int) error {
 	buffered := len(req.Body)
 	if buffered == maxBytes+1 {
--- a/internal/router/dataplane/request_test.go
+++ b/internal/router/dataplane/request_test.go
@@ -15,8 +15,8 @@
 	c := qt.New(t)
 	route := &fleetconfig.Route{TotalWeight: 10, Targets: []fleetconfig.Target{
 		{Service: "a", Weight: 9}, {Service: "zero"}, {Service: "b", Weight: 1}}}
-	for place, want := range map[float64]string{0: "a", 0.89: "a", 0.9: "b", 0.999: "b", 1: "a"} {
-		c.Assert(pickTarget(route, place), qt.Equals, want, qt.Commentf("at %v", place))
+	for fraction, want := range map[float64]string{0: "a", 0.89: "a", 0.9: "b", 0.999: "b", 1: "a"} {
+		c.Assert(pickTarget(route, fraction), qt.Equals, want, qt.Commentf("at %v", fraction))
 	}
 }
 
@@ -82,7 +82,8 @@
 		{"a timeout second", http1.Header{{Name: "Keep-Alive", Value: "max=3, Timeout=1"}}, false,
 			500 * time.Millisecond},
 		{"no timeout", http1.Header{{Name: "Keep-Alive", Value: "timeout=0"}}, false, 0},
-		{"a timeout beyond ours", http1.Header{{Name: "Keep-Alive", Value: "timeout=3600"}}, false, maxIdleTime},
+		{"a timeout beyond maxIdleTime", http1.Header{{Name: "Keep-Alive", Value: "timeout=3600"}}, false,
+			maxIdleTime},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			response := &http1.Response{Header: test.header, Close: test.close}
@@ -91,9 +92,9 @@
 	}
 }
 
-// A request ends, and its client has read its response, no later than a quarter of a second past the
-// route's timeout, however long the client would wait.
-func TestNothingIsHeldPastTheRouteTimeout(t *testing.T) {
+// A request ends, and the write of its response times out, within 250 ms of the route's timeout, even if the
+// client's deadline is later.
+func TestRequestsEndByTheRouteTimeout(t *testing.T) {
 	c := qt.New(t)
 	config, err := fleetconfig.Parse([]byte(testConfig(testLimits)))
 	c.Assert(err, qt.IsNil)
@@ -114,7 +115,8 @@
 	}
 }
 
-// requestOfRoute returns a request that has just arrived on a route with a timeout.
+// requestOfRoute returns a request that has just arrived on a route with that timeout, and with that value of
+// the deadline header unless it is empty.
 func requestOfRoute(c *qt.C, route string, timeout time.Duration, deadline string) *request {
 	config, err := fleetconfig.Parse([]byte(testConfig(testLimits)))
 	c.Assert(err, qt.IsNil)
@@ -126,9 +128,9 @@
 	return newRequest(head, time.Now(), config)
 }
 
-// A request has the time that its client and its route give it, however long that is, but for a tenth of a
-// second in which its response reaches the client.
-func TestLongRequestsKeepTheirTime(t *testing.T) {
+// A request may take as long as its client and its route allow, however long that is, except for a margin of
+// at most 100 ms in which its response reaches the client.
+func TestRequestsMayUseTheirTimeoutExceptTheMargin(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		timeout  time.Duration
@@ -143,18 +145,18 @@
 	} {
 		c := qt.New(t)
 		req := requestOfRoute(c, "safe", test.timeout, test.deadline)
-		given := req.deadline.Sub(req.arrived)
-		c.Check(given >= test.want-100*time.Millisecond, qt.IsTrue, qt.Commentf("%s: %v", test.name, given))
-		c.Check(given < test.want, qt.IsTrue, qt.Commentf("%s: %v", test.name, given))
+		timeout := req.deadline.Sub(req.arrived)
+		c.Check(timeout >= test.want-100*time.Millisecond, qt.IsTrue, qt.Commentf("%s: %v", test.name, timeout))
+		c.Check(timeout < test.want, qt.IsTrue, qt.Commentf("%s: %v", test.name, timeout))
 	}
 }
 
-// A response that has started is not ended before its time is over: nothing else could reach the client
-// instead.
-func TestStartedResponsesGoOnToTheHardDeadline(t *testing.T) {
+// A response that has started may use the time up to the hard deadline, because no local reply could replace
+// it.
+func TestStartedResponsesMayUseTheHardDeadline(t *testing.T) {
 	c := qt.New(t)
 	req := requestOfRoute(c, "firm", time.Minute, "6000")
-	begun := &call{roundTrip: &roundTrip{request: req, relay: relay{started: true}}}
-	end := (&relay{request: req, started: true}).gapDeadline(begun)
-	c.Check(end.Sub(req.arrived), qt.Equals, 6*time.Second)
+	started := &call{roundTrip: &roundTrip{request: req, relay: relay{started: true}}}
+	deadline := (&relay{request: req, started: true}).gapDeadline(started)
+	c.Check(deadline.Sub(req.arrived), qt.Equals, 6*time.Second)
 }
--- a/internal/router/dataplane/retry.go
+++ b/internal/router/dataplane/retry.go
@@ -7,8 +7,8 @@
 // maxUnreachableServers is the number of unreachable servers after which no further attempt is made.
 const maxUnreachableServers = 4
 
-// recordFailure records how a call failed: whether the request may have run, and which servers and attempts are
-// left.
+// recordFailure records how a call failed: whether the request may have run, and which servers and attempts
+// are left.
 func (rt *roundTrip) recordFailure(call *call, failure *callFailure) {
 	rt.worstExecution = max(rt.worstExecution, failure.execution)
 	if failure.response != nil {
--- a/internal/router/dataplane/retry_test.go
+++ b/internal/router/dataplane/retry_test.go
@@ -28,7 +28,7 @@
 		"\r\nContent-Length: 9\r\n\r\nhalf")
 )
 
-// closeAfter writes as its handler does and then closes the connection.
+// closeAfter returns a handler that responds as handle does and then closes the connection.
 func closeAfter(handle handler) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		handle(req, w)
@@ -36,28 +36,31 @@
 	}
 }
 
-func TestWhatFollowsAFailedCall(t *testing.T) {
+// The route of a request and the failure of a call determine whether the request is retried, and what the
+// client is answered otherwise.
+func TestRetriesAfterAFailedCall(t *testing.T) {
 	good := respondOK("good")
-	type row struct {
+	type testCase struct {
 		name     string
 		route    string
 		answers  []handler // of the servers, in turn; the last one for all further calls
-		status   int
-		arrivals int
+		status   int       // of the response to the client
+		arrivals int       // calls that reach a server
 		outcomes []scheduler.Outcome
 	}
-	served, broken, not, failed := scheduler.Served, scheduler.Broken, scheduler.Rejected, scheduler.Failed
-	for _, test := range []row{
+	served, broken, rejected, failed := scheduler.Served, scheduler.Broken, scheduler.Rejected, scheduler.Failed
+	for _, test := range []testCase{
 		{"reset", "unsafe", []handler{closeUnanswered, good}, 502, 1, []scheduler.Outcome{broken}},
 		{"nonsense", "unsafe", []handler{writeNonsense, good}, 502, 1, []scheduler.Outcome{broken}},
 		{"half a response", "unsafe", []handler{closeAfter(writeHalfResponse), good}, 502, 1,
 			[]scheduler.Outcome{broken}},
-		{"full", "unsafe", []handler{rejectFull, good}, 200, 2, []scheduler.Outcome{not, served}},
-		{"full three times", "unsafe", []handler{rejectFull}, 503, 3, []scheduler.Outcome{not, not, not}},
+		{"full", "unsafe", []handler{rejectFull, good}, 200, 2, []scheduler.Outcome{rejected, served}},
+		{"full three times", "unsafe", []handler{rejectFull}, 503, 3,
+			[]scheduler.Outcome{rejected, rejected, rejected}},
 		{"full, then reset", "unsafe", []handler{rejectFull, closeUnanswered, good}, 502, 2,
-			[]scheduler.Outcome{not, broken}},
+			[]scheduler.Outcome{rejected, broken}},
 		{"429 with a promise", "unsafe", []handler{respondStatus(429, "Cresshub-Not-Run: 1"), good}, 200, 2,
-			[]scheduler.Outcome{not, served}},
+			[]scheduler.Outcome{rejected, served}},
 		{"replaced", "unsafe", []handler{rejectReplaced, good}, 200, 2,
 			[]scheduler.Outcome{scheduler.Misdirected, served}},
 		{"replaced without Cresshub-Not-Run", "unsafe", []handler{respondStatus(421), good}, 200, 2,
@@ -88,7 +91,7 @@
 		{"reset three times", "safe", []handler{closeUnanswered}, 502, 3,
 			[]scheduler.Outcome{broken, broken, broken}},
 		{"reset, then full", "safe", []handler{closeUnanswered, rejectFull}, 502, 3,
-			[]scheduler.Outcome{broken, not, not}},
+			[]scheduler.Outcome{broken, rejected, rejected}},
 		{"its own failure", "safe", []handler{respond500, good}, 200, 2, []scheduler.Outcome{failed, served}},
 		{"its own failure three times", "safe", []handler{respond500}, 500, 3,
 			[]scheduler.Outcome{failed, failed, failed}},
@@ -122,7 +125,7 @@
 	rig.Assert(rig.state.Replaced(), qt.DeepEquals, []string{"i-1"})
 }
 
-func TestSpentBudgetEndsTheRetries(t *testing.T) {
+func TestExhaustedRetryBudgetEndsRetries(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		answer handler
@@ -140,27 +143,27 @@
 	}
 }
 
-// newRefusingServer returns a server that runs no more: its address refuses connections.
+// newRefusingServer returns a server whose process has ended: its address refuses connections.
 func newRefusingServer(t *testing.T, id string) *fakeServer {
 	t.Helper()
 	return &fakeServer{Server: &catalog.Server{ID: id, Service: "lookup", Slots: 8, State: catalog.Ready,
 		Address: nettest.RefusingAddress(t)}}
 }
 
-func TestUnreachableServersAreNoAttempts(t *testing.T) {
-	dead := newRefusingServer(t, "i-0")
-	alive := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
-	rig := newRig(t, withRetrySlack(0), dead, alive)
+func TestCallsToUnreachableServersAreNotCountedAsAttempts(t *testing.T) {
+	refusing := newRefusingServer(t, "i-0")
+	running := newFakeServer(t, "i-1", "lookup", "", respondOK("x"))
+	rig := newRig(t, withRetrySlack(0), refusing, running)
 	rig.Assert(rig.dial().do("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
 	rig.awaitCallsEnded()
 	rig.Assert(rig.chooser.outcomes(), qt.DeepEquals,
 		[]scheduler.Outcome{scheduler.Unreachable, scheduler.Served})
 
-	rig = newRig(t, nil, dead)
+	rig = newRig(t, nil, refusing)
 	rig.Assert(rig.dial().do("POST", "/unsafe/", "a", "").Status, qt.Equals, 503)
 }
 
-func TestServerThatTimesOutIsReplacedWhereARetryIsSafe(t *testing.T) {
+func TestTimedOutCallIsRetriedOnlyIfSafe(t *testing.T) {
 	ended := make(chan string, 9)
 	for _, test := range []struct {
 		name, route      string
@@ -183,22 +186,23 @@
 				return response.Status
 			})
 			rig.Assert(response.Status, qt.Equals, test.status)
-			<-ended // the connection does not outlive its request
+			<-ended // the connection of the timed-out call is closed
 			rig.Assert(requestsReceived(servers), qt.Equals, test.arrivals)
 			rig.awaitCallsEnded()
-			outcomes := rig.chooser.outcomes() // those before are of calls that did not reach a server
+			// Earlier outcomes may be of calls that did not reach a server.
+			outcomes := rig.chooser.outcomes()
 			rig.Assert(outcomes[len(outcomes)-test.arrivals], qt.Equals, scheduler.TimedOut)
 		})
 	}
 }
 
-func TestLargeRequestRejectedBeforeItIsRead(t *testing.T) {
+func TestLargeRequestRejectedBeforeItsBodyIsReadIsRetried(t *testing.T) {
 	early := &fakeServer{Server: &catalog.Server{ID: "i-1", Service: "lookup", State: catalog.Ready}}
 	early.listen(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		if req, _, err := http1.ReadRequestHead(in); err == nil {
 			rejectFull(req, conn)
-			io.Copy(io.Discard, in) // closing at once might swallow the answer
+			io.Copy(io.Discard, in) // closing with unread bytes would reset the connection and the response
 		}
 	})
 	late := newFakeServer(t, "i-2", "lookup", "", respondOK("x"))
@@ -208,7 +212,8 @@
 	rig.Assert(late.got(), qt.HasLen, 1)
 }
 
-// TestServersThatRefuseConnectionsAreSuspected reports a server whose process has ended, and no other.
+// A server whose address refuses connections is reported as suspect. One that accepts the connection and
+// closes it without a response is not.
 func TestServersThatRefuseConnectionsAreSuspected(t *testing.T) {
 	rig := newRig(t, nil, newRefusingServer(t, "away"))
 	rig.Assert(rig.dial().do("GET", "/safe/", "a", "").Status, qt.Equals, 503)
--- a/internal/router/dataplane/retrybudget.go
+++ b/internal/router/dataplane/retrybudget.go
@@ -26,7 +26,8 @@
 	proxies int     // the number of proxies that share the slack
 }
 
-// retryBudget counts one service's requests and retries over a sliding window. Times are on a monotonic clock.
+// retryBudget counts one service's requests and retries over a sliding window. Times are on a monotonic
+// clock.
 type retryBudget struct {
 	buckets [budgetBuckets + 1]budgetBucket
 }
@@ -45,7 +46,8 @@
 	b.bucket(now, window).retries += retries
 }
 
-// take counts the retries if all of them are within the allowance. Otherwise it counts none and returns false.
+// take counts the retries if all of them are within the allowance. Otherwise it counts none and returns
+// false.
 func (b *retryBudget) take(now time.Duration, allowed allowance, retries int) bool {
 	if retries <= 0 {
 		return true
@@ -110,9 +112,9 @@
 	return int64(now/width) + 2*budgetBuckets
 }
 
-// slackMargin plus the retry window is the time after the start of the process in which the shared slack is not
-// used. The previous process may have used its share of the slack just before it was killed, and this one does
-// not know the other proxies yet.
+// slackMargin plus the retry window is the time after the start of the process in which the shared slack is
+// not used. The previous process may have used its share of the slack just before it was killed, and this one
+// does not know the other proxies yet.
 const slackMargin = time.Second
 
 // retryBudgets holds the retry budget of each service. It is safe for concurrent use.
@@ -136,8 +138,8 @@
 	b.forService(service).recordRequest(now, b.bounds.RetryWindow)
 }
 
-// take takes the retries from the service's budget if it allows all of them. Otherwise it takes none and returns
-// false.
+// take takes the retries from the service's budget if it allows all of them. Otherwise it takes none and
+// returns false.
 func (b *retryBudgets) take(now time.Duration, service string, proxies, retries int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/dataplane/retrybudget_test.go
+++ b/internal/router/dataplane/retrybudget_test.go
@@ -19,7 +19,7 @@
 		ratio    float64
 		slack    float64
 		proxies  int
-		want     int // retries in one moment
+		want     int // retries that may be taken at once
 	}{
 		{"nothing allowed", 0, 0.2, 0, 1, 0},
 		{"ratio alone", 100, 0.2, 0, 1, 16},
@@ -65,13 +65,14 @@
 	c.Assert(b.available(window+window/budgetBuckets, allowed), qt.IsTrue)
 }
 
-// Every window contains no more retries than the requests of that very window allow, whenever they come.
+// No window contains more retries than the slack and the requests in the same window allow, whenever the
+// requests and retries come.
 func TestRetriesStayWithinTheAllowanceInEveryWindow(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		allowed := allowance{window: window, ratio: 0.2, slack: 10, proxies: 2}
 		var b retryBudget
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		now := time.Duration(0)
 		for range 4000 {
 			now += time.Duration(random.ExpFloat64() * float64(10*time.Millisecond))
@@ -81,25 +82,26 @@
 			b.recordRequest(now, window)
 			requests = append(requests, now)
 			if random.IntN(3) > 0 && b.take(now, allowed, 1) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for i, first := range repeats {
+		for i, first := range retries {
 			count := 0
-			for _, at := range repeats[i:] {
+			for _, at := range retries[i:] {
 				if at-first < window {
 					count++
 				}
 			}
-			last := repeats[i+count-1]
-			most := slackFraction*5 + ratioFraction*0.2*float64(countWithin(requests, last-window, last))
-			if float64(count) > most {
-				t.Fatalf("seed %d: %d repeats within the window of %v, %.1f allowed", seed, count, first, most)
+			last := retries[i+count-1]
+			limit := slackFraction*5 + ratioFraction*0.2*float64(countWithin(requests, last-window, last))
+			if float64(count) > limit {
+				t.Fatalf("seed %d: %d retries within the window from %v, %.1f allowed", seed, count, first, limit)
 			}
 		}
 	}
 }
 
+// countWithin returns how many of the times are later than after, and not later than until.
 func countWithin(times []time.Duration, after, until time.Duration) (count int) {
 	for _, at := range times {
 		if at > after && at <= until {
@@ -114,10 +116,10 @@
 	b := newRetryBudgets(agentsettings.Bounds{RetryRatio: 0, RetrySlack: 100, RetryWindow: window})
 	now := time.Minute
 	b.recordRequest(now, "s", 10)
-	c.Assert(takeAll(b, now, 1), qt.Equals, 6) // 0.6 * 100 / 10, though only one is believed live now
+	c.Assert(takeAll(b, now, 1), qt.Equals, 6) // 0.6 * 100 / 10, although only one proxy is believed live now
 	now += 40 * time.Second
 	c.Assert(takeAll(b, now, 1), qt.Equals, 6)
-	now += 40 * time.Second // by now the others have been away for longer than the window
+	now += 40 * time.Second // the other proxies have been gone for longer than slidingMaxWindow
 	c.Assert(takeAll(b, now, 1), qt.Equals, 60)
 }
 
@@ -139,6 +141,7 @@
 	c.Assert(b.available(time.Minute, "other", 1), qt.IsTrue)
 }
 
+// takeAll takes all retries that the budget of the service "s" allows, and returns their number.
 func takeAll(b *retryBudgets, now time.Duration, proxies int) (taken int) {
 	for b.take(now, "s", proxies, 1) {
 		taken++
@@ -148,10 +151,10 @@
 
 func TestSlidingMaxForgetsOldValues(t *testing.T) {
 	c := qt.New(t)
-	var largest slidingMax
-	c.Assert(largest.observe(0, 5), qt.Equals, 5)
-	c.Assert(largest.observe(10*time.Second, 2), qt.Equals, 5)
-	c.Assert(largest.observe(slidingMaxWindow, 3), qt.Equals, 5)
-	c.Assert(largest.observe(slidingMaxWindow+15*time.Second, 1), qt.Equals, 3)
-	c.Assert(largest.observe(10*slidingMaxWindow, 1), qt.Equals, 1)
+	var maximum slidingMax
+	c.Assert(maximum.observe(0, 5), qt.Equals, 5)
+	c.Assert(maximum.observe(10*time.Second, 2), qt.Equals, 5)
+	c.Assert(maximum.observe(slidingMaxWindow, 3), qt.Equals, 5)
+	c.Assert(maximum.observe(slidingMaxWindow+15*time.Second, 1), qt.Equals, 3)
+	c.Assert(maximum.observe(10*slidingMaxWindow, 1), qt.Equals, 1)
 }
--- a/internal/router/dataplane/rig_test.go
+++ b/internal/router/dataplane/rig_test.go
@@ -24,18 +24,22 @@
 // testTimeout bounds every wait of a test; no result depends on how much of it is used.
 const testTimeout = 20 * time.Second
 
-// routeTimeout is the timeout of the routes, and their targets. The timeouts that the proxy derives from them
-// are longer than any wait of a test, so that a busy machine makes none of them end a call. Tests of these
-// timeouts set shorter ones: useMinResponseTimeout, useMinStreamTimeout, useMinPrefillTimeout, Cresshub-Deadline-Ms.
+// routeTimeout is the timeout of the routes, and their latency and gap targets. The timeouts that the proxy
+// derives from them are longer than any wait of a test, so that none of them ends a call on a busy machine.
+// Tests of these timeouts set shorter ones, by useMinResponseTimeout, useMinStreamTimeout,
+// useMinPrefillTimeout or Cresshub-Deadline-Ms.
 const routeTimeout = 3 * testTimeout
 
-// testRoute is a route of the test configuration. Its name is also the first part of its path.
+// testRoute is a route of the test configuration. Its name is also the first segment of its path.
 type testRoute struct {
 	name, kind, service string
 	maxAttempts         int
 	resumable           bool
 }
 
+// testRoutes are the routes of the test configuration. Streams of "firm" and "modelfirm" cannot be resumed,
+// so their requests must not run twice. "single" allows one attempt, and the service of "unbound" has no
+// limit of connections.
 var testRoutes = []testRoute{
 	{"safe", "safe", "lookup", 3, false},
 	{"unsafe", "unsafe", "lookup", 3, false},
@@ -47,7 +51,7 @@
 	{"unbound", "safe", "unbound", 3, false},
 }
 
-// testConfig returns the configuration of all tests with the given limits, a JSON object.
+// testConfig returns the test configuration with the given limits, which are a JSON object.
 func testConfig(limits string) string {
 	var routes []string
 	for _, route := range testRoutes {
@@ -67,8 +71,8 @@
 "counters":{},"inner_ports":[1,2],
 "bounds":{"retry_ratio":0.2,"retry_window_s":10,"retry_slack":100,"grace_s":8}}`
 
-// fakeState stands in for the agent: it holds what a Proxy asks of it and records what a Proxy reports. Its
-// methods may be called from any goroutine.
+// fakeState is a State that returns fixed values and records the reports of a Proxy. Its methods may be
+// called from any goroutine.
 type fakeState struct {
 	mu        sync.Mutex
 	config    *fleetconfig.Config
@@ -110,8 +114,8 @@
 	return append([]string(nil), s.replaced...)
 }
 
-// testRig is a Proxy on loopback with a fakeChooser in place of its scheduler, and the servers of a test in
-// its table. Its assertions end the test.
+// testRig is a Proxy that listens on loopback, with a fakeChooser in place of its scheduler and the servers
+// of a test in its table. Its assertions end the test.
 type testRig struct {
 	*qt.C
 	proxy    *Proxy
@@ -121,8 +125,8 @@
 	listener net.Listener
 }
 
-// newRig starts a Proxy with servers, for the time of the test. Where change is not nil it alters the
-// settings and the state before.
+// newRig starts a Proxy with the servers, and stops it at the end of the test. Unless change is nil, it is
+// called to modify the settings and the state first.
 func newRig(tb testing.TB, change func(*agentsettings.Settings, *fakeState),
 	servers ...*fakeServer) *testRig {
 	tb.Helper()
@@ -139,8 +143,8 @@
 	rig := &testRig{C: c, state: state, proxy: New(settings, state, clock, zerolog.Nop()),
 		chooser: newFakeChooser()}
 	rig.proxy.chooser.inner = rig.chooser
-	rig.proxy.started = rig.proxy.started.Add(-time.Minute) // past the delay of the shared slack
-	rig.proxy.prefillTimes.record("language", testTimeout)  // no prefill times out
+	rig.proxy.started = rig.proxy.started.Add(-time.Minute) // the shared slack may be used already
+	rig.proxy.prefillTimes.record("language", testTimeout)  // no prefill call times out
 	rig.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	rig.address = rig.listener.Addr().String()
@@ -159,20 +163,20 @@
 	return rig
 }
 
-// withRetrySlack is a change for newRig: the retries of a window that all proxies together may make besides
-// their share of the requests.
-func withRetrySlack(repeats float64) func(*agentsettings.Settings, *fakeState) {
-	return func(settings *agentsettings.Settings, _ *fakeState) { settings.Bounds.RetrySlack = repeats }
+// withRetrySlack returns a change for newRig that sets the retry slack: how many retries per window all
+// proxies together may make in addition to a fraction of the requests.
+func withRetrySlack(retries float64) func(*agentsettings.Settings, *fakeState) {
+	return func(settings *agentsettings.Settings, _ *fakeState) { settings.Bounds.RetrySlack = retries }
 }
 
-// shortTarget is a target from which the minimum of a timeout follows.
+// shortTarget is a latency or gap target so short that the timeouts derived from it have their minimum.
 const shortTarget = 300 * time.Millisecond
 
-// useMinResponseTimeout has calls of a route time out after minResponseTimeout. The time in which a connection
-// has to open is short, too: where a busy machine misses it another server is called instead.
+// useMinResponseTimeout makes calls of a route time out after minResponseTimeout. This also shortens the dial
+// timeout: if a dial times out on a busy machine, another server is called instead.
 func (r *testRig) useMinResponseTimeout(route string) { r.route(route).LatencyTarget = shortTarget }
 
-// useMinStreamTimeout has streams of a route time out after minStreamTimeout.
+// useMinStreamTimeout makes streams of a route time out after a pause of minStreamTimeout.
 func (r *testRig) useMinStreamTimeout(route string) { r.route(route).GapTarget = shortTarget }
 
 // route returns the configuration of a route, which a test may change between requests.
@@ -180,10 +184,11 @@
 	return r.state.config.Match("h", "/"+name+"/")
 }
 
-// useMinPrefillTimeout has prefill time out after minPrefillTimeout, as where its usual time is not known.
+// useMinPrefillTimeout makes prefill calls time out after minPrefillTimeout, by forgetting how long they
+// take.
 func (r *testRig) useMinPrefillTimeout() { r.proxy.prefillTimes = newPrefillTimes() }
 
-// tableOf returns a table of these servers.
+// tableOf returns a table of the servers.
 func tableOf(servers []*fakeServer) *catalog.Table {
 	var all []*catalog.Server
 	for _, server := range servers {
@@ -192,30 +197,31 @@
 	return catalog.NewTable(all)
 }
 
-// awaitCallsEnded waits until every call has ended and checks that each ended once.
+// awaitCallsEnded waits until every call has ended exactly once.
 func (r *testRig) awaitCallsEnded() {
 	r.Helper()
-	r.eventually("each call ends once", r.chooser.allCallsEndedOnce)
+	r.eventually("each call has ended once", r.chooser.allCallsEndedOnce)
 }
 
-// eventually waits until holds returns true, for what happens on other goroutines; after testTimeout it fails
-// the test with the description what.
-func (r *testRig) eventually(what string, holds func() bool) {
+// eventually waits until condition returns true, for effects of other goroutines. After testTimeout it fails
+// the test with the description of the condition.
+func (r *testRig) eventually(description string, condition func() bool) {
 	r.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
 		if time.Now().After(end) {
-			r.Fatalf("never: %s", what)
+			r.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
 
-// retryUntilReceived sends a request with a short deadline until one has reached a server: on a busy machine its
-// time may be over before, which is answered 503, and it is sent again with twice the time. A 503 that comes
-// long before the deadline is no excuse, and left to the caller. send returns the status of the response.
+// retryUntilReceived calls send, which sends a request with that deadline and returns the status of its
+// response, until a request has reached a server. On a busy machine a short deadline may pass before, which
+// is answered 503; the request is then sent again with twice the time. A 503 that comes long before the
+// deadline has another cause and is left to the caller.
 func (r *testRig) retryUntilReceived(deadline time.Duration, servers []*fakeServer,
 	send func(deadline time.Duration) int) {
 	r.Helper()
-	r.eventually("a request reaches a server in its time", func() bool {
+	r.eventually("a request has reached a server before its deadline", func() bool {
 		began := time.Now()
 		status := send(deadline)
 		early := time.Since(began) < deadline/4
@@ -225,14 +231,14 @@
 }
 
 // testClient is a client of the Proxy with one connection, on which it sends requests and reads responses. It
-// is used by one goroutine at a time.
+// must be used by one goroutine at a time.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
 	*qt.C
 }
 
-// dial connects a client for the time of the test; its reads and writes end after testTimeout.
+// dial connects a client until the end of the test. Its reads and writes time out after testTimeout.
 func (r *testRig) dial() *testClient {
 	conn, err := net.Dial("tcp", r.address)
 	r.Assert(err, qt.IsNil)
@@ -241,7 +247,7 @@
 	return &testClient{Conn: conn, in: bufio.NewReader(conn), C: r.C}
 }
 
-// connect opens a new connection; it returns false where nobody listens.
+// connect opens a new connection. It returns false if that fails.
 func (c *testClient) connect(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -252,7 +258,7 @@
 	return true
 }
 
-// send writes a request of the attempt id, with further fields; a body has a Content-Length.
+// send writes a request with id as its Cresshub-Try-Id and further fields. A body has a Content-Length.
 func (c *testClient) send(method, target, id, body string, fields ...string) {
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n", method, target, id)
 	for _, f := range fields {
@@ -265,8 +271,8 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// read reads one response. It returns nil and an error where no head arrived, and what arrived of the body
-// with an error where it was truncated.
+// read reads one response. If no head arrives, it returns nil and an error. If the body is truncated, it
+// returns the received part of the body and an error.
 func (c *testClient) read() (*http1.Response, error) {
 	head, body, err := http1.ReadResponseHead(c.in, "GET")
 	if err != nil {
@@ -279,7 +285,7 @@
 	return head, err
 }
 
-// do sends a request and returns its response, which has to be complete.
+// do sends a request and returns its response, which must be complete.
 func (c *testClient) do(method, target, id, body string, fields ...string) *http1.Response {
 	c.Helper()
 	c.send(method, target, id, body, fields...)
@@ -288,7 +294,7 @@
 	return response
 }
 
-// post writes a POST request with a body, on a route.
+// post writes a POST request with a body to a route. Unlike send, it ignores a write error.
 func (c *testClient) post(route, id, body string) {
 	fmt.Fprintf(c, "POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n%s%s", route, id,
 		contentLength(body), body)
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -117,7 +117,8 @@
 	return rt.request.deadline
 }
 
-// finished reports whether no further call may be made: the round trip was stopped, or too little time is left.
+// finished reports whether no further call may be made: the round trip was stopped, or too little time is
+// left.
 func (rt *roundTrip) finished() bool {
 	return rt.stopReason() != notStopped || rt.timeLeft() < minTimeLeft
 }
--- a/internal/router/dataplane/stop.go
+++ b/internal/router/dataplane/stop.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// setAbortable sets what stop closes, nil for nothing. It returns false without setting a non-nil closer if the
-// round trip has been stopped already.
+// setAbortable sets what stop closes, nil for nothing. It returns false without setting a non-nil closer if
+// the round trip has been stopped already.
 func (rt *roundTrip) setAbortable(closer io.Closer) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
--- a/internal/router/dataplane/validrequests_test.go
+++ b/internal/router/dataplane/validrequests_test.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// validRequests are requests within the limits of testLimits, at their edges too.
+// validRequests are requests within testLimits, including some exactly at a limit.
 var validRequests = map[string]string{
 	"plain":         requestText("GET", "/safe/x?y=1", ""),
 	"with a body":   requestText("POST", "/unsafe/", "body"),
@@ -29,6 +29,7 @@
 	"no id":            "GET /safe/ HTTP/1.1\r\nHost: h\r\n\r\n",
 }
 
+// requestText returns a request as the client writes it.
 func requestText(method, target, body string, fields ...string) string {
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: a\r\n", method, target)
 	for _, field := range fields {
@@ -40,14 +41,14 @@
 	return text + contentLength(body) + body
 }
 
-// requestWithHead is a request whose head has that many bytes.
+// requestWithHead returns a request whose head has that many bytes.
 func requestWithHead(size int) string {
 	short := requestText("GET", "/safe/", "", "X-Long: ")
 	return requestText("GET", "/safe/", "", "X-Long: "+strings.Repeat("x", size-len(short)))
 }
 
-// No 3xx or 4xx of the proxy's own answers a valid request: not with a configuration, nor without one or
-// without servers, when 503 tells the client when to come again.
+// A valid request never gets a 3xx or 4xx as a local reply. Without a configuration or without servers it
+// gets a 503 with Retry-After.
 func TestValidRequestsAreAccepted(t *testing.T) {
 	serve := respondOK("served")
 	for name, text := range validRequests {
@@ -76,8 +77,9 @@
 	}
 }
 
-// Before a configuration is known no limit of it is either: what a site may allow is answered 503, too.
-func TestLargeRequestsBeforeAConfiguration(t *testing.T) {
+// Before a configuration is known its limits are not known either, so a request that they may allow is
+// answered 503, and not 413 or 431.
+func TestLargeRequestsBeforeAConfigurationAreRejectedWith503(t *testing.T) {
 	large := requestText("POST", "/unsafe/", strings.Repeat("x", 6<<20))
 	for _, text := range []string{requestWithHead(60 << 10), large} {
 		rig := newRig(t, func(_ *agentsettings.Settings, s *fakeState) { s.config = nil })
