--- a/internal/router/dataplane/metrics.go
+++ b/internal/router/dataplane/metrics.go
@@ -34,8 +34,8 @@
 
 // WriteMetrics writes the metrics of the data plane to the page.
 func (p *Proxy) WriteMetrics(page *metrics.Page) {
-	for _, figure := range p.counterMetrics() {
-		page.Counter(figure.name, figure.help, figure.value)
+	for _, metric := range p.counterMetrics() {
+		page.Counter(metric.name, metric.help, metric.value)
 	}
 	page.Family("cresshub_requests_unserved_total",
 		"Requests that got no complete response of a server, by outcome and reason.",
--- a/internal/router/dataplane/outcome_test.go
+++ b/internal/router/dataplane/outcome_test.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// The log and the metrics record of a request that was not served where it was sent, how each call ended, and
-// why no further attempt was made.
+// For a request that was not served, the log records where it was sent, how each call ended, and why no
+// further attempt was made. The metrics count its outcome and its calls.
 func TestFailedRequestIsLoggedWithItsCalls(t *testing.T) {
 	log := &logLines{}
 	broken := newFakeServer(t, "a", "lookup", "", closeUnanswered)
@@ -63,12 +63,12 @@
 	rig.Check(call["execution"], qt.Equals, "may_have_run")
 	page := &metrics.Page{}
 	rig.proxy.WriteMetrics(page)
-	for _, figure := range []string{
+	for _, line := range []string{
 		`cresshub_requests_unserved_total{outcome="failed",reason="may_have_run"} 1`,
 		`cresshub_server_calls_total{role="serve",outcome="broken"} 1`,
 		`cresshub_request_duration_seconds_count 1`,
 	} {
-		rig.Check(string(page.Text()), qt.Contains, figure+"\n")
+		rig.Check(string(page.Text()), qt.Contains, line+"\n")
 	}
 }
 
--- a/internal/router/dataplane/prefill_test.go
+++ b/internal/router/dataplane/prefill_test.go
@@ -209,7 +209,7 @@
 	return roles
 }
 
-func TestPrefillThatTimesOutIsNotRepeated(t *testing.T) {
+func TestTimedOutPrefillIsNotRetried(t *testing.T) {
 	t.Parallel()
 	ended := make(chan string, 9)
 	prefillers, decoders := newModelServers(t, neverAnswer(ended), streamEvents(1, 2, true))
--- a/internal/router/dataplane/proxy_test.go
+++ b/internal/router/dataplane/proxy_test.go
@@ -140,7 +140,7 @@
 	rig.Assert(rig.dial().do("GET", "/safe/", "a1", "").Status, qt.Equals, 503)
 }
 
-func TestPipelinedRequestsAreAnsweredInTurn(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
 		return respondOK("for "+req.Header.Get(tryIDHeader))(req, w)
 	})
--- a/internal/router/dataplane/readrequest.go
+++ b/internal/router/dataplane/readrequest.go
@@ -14,9 +14,9 @@
 // initialBodyBuffer is the initial buffer size for a body of unknown length, in bytes.
 const initialBodyBuffer = 4 << 10
 
-// nonRepeatableFields are the fields that a request may contain only once: if there were two, the proxy and
+// singletonFields are the fields that a request may contain only once: if there were two, the proxy and
 // the server might each use a different one.
-var nonRepeatableFields = []string{"Host", tryIDHeader, lastEventHeader}
+var singletonFields = []string{"Host", tryIDHeader, lastEventHeader}
 
 // readRequest reads one request with its body, whose memory is reserved from the body budget. The error is a
 // *localReplyError if the client is to get a response; after any other error the connection is closed without
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, c.readError(err)
 	}
-	if head.Header.Repeated(nonRepeatableFields...) != "" {
+	if head.Header.Repeated(singletonFields...) != "" {
 		return nil, errDuplicateField
 	}
 	req := newRequest(head, arrived, c.proxy.state.Config())
--- a/internal/router/dataplane/retrybudget_test.go
+++ b/internal/router/dataplane/retrybudget_test.go
@@ -123,7 +123,7 @@
 	c.Assert(takeAll(b, now, 1), qt.Equals, 60)
 }
 
-func TestSlackIsNotUsedAfterTheStart(t *testing.T) {
+func TestSlackIsNotUsedRightAfterTheStart(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudgets(agentsettings.Bounds{RetryRatio: 0.5, RetrySlack: 100, RetryWindow: window})
 	for range 10 {
--- a/internal/router/dataplane/roundtrip.go
+++ b/internal/router/dataplane/roundtrip.go
@@ -28,7 +28,7 @@
 	// Results of the calls so far, which decide whether another one is permitted.
 	attempts           attemptCounter
 	worstExecution     execution         // of all calls except prefill calls
-	serverError        *bufferedResponse // the last server's own error; forwarded if no further call is made
+	serverError        *bufferedResponse // the last error of a server itself; forwarded if no call follows
 	unreachableServers int               // calls to servers that could not be connected to
 
 	trace roundTripTrace // for the log and the invariants
--- a/internal/router/dataplane/timeouts.go
+++ b/internal/router/dataplane/timeouts.go
@@ -14,15 +14,15 @@
 	// priorMeanWeight is the weight of the previous mean of prefill times, where a new time has the weight 1.
 	priorMeanWeight = 7
 	// An idempotent request may be retried at another server if its response has not begun after the longest
-	// of minResponseTimeout, responseTimeoutTargets times the route's latency target, and responseTimeoutFactor
-	// times the duration that the scheduler expected.
-	minResponseTimeout     = 1500 * time.Millisecond
-	responseTimeoutTargets = 2
-	responseTimeoutFactor  = 3
-	// A stream may pause for minStreamTimeout or streamTimeoutGaps times the route's gap target, whichever is
-	// longer, before it is resumed at another server.
-	minStreamTimeout  = time.Second
-	streamTimeoutGaps = 3
+	// of minResponseTimeout, responseTimeoutTargetFactor times the route's latency target, and
+	// responseTimeoutExpectedFactor times the duration that the scheduler expected.
+	minResponseTimeout            = 1500 * time.Millisecond
+	responseTimeoutTargetFactor   = 2
+	responseTimeoutExpectedFactor = 3
+	// A stream may pause for minStreamTimeout or streamTimeoutGapFactor times the route's gap target, whichever
+	// is longer, before it is resumed at another server.
+	minStreamTimeout       = time.Second
+	streamTimeoutGapFactor = 3
 )
 
 // prefillTimeout returns how long a server may take to prefill a prompt before the request continues without
@@ -35,7 +35,8 @@
 // returns all the time left if that is less than one and a half timeouts, because another server would hardly
 // respond in time.
 func responseTimeout(target, expected, left time.Duration) time.Duration {
-	timeout := max(responseTimeoutTargets*target, responseTimeoutFactor*expected, minResponseTimeout)
+	timeout := max(responseTimeoutTargetFactor*target, responseTimeoutExpectedFactor*expected,
+		minResponseTimeout)
 	if left < timeout+timeout/2 {
 		return left
 	}
@@ -44,7 +45,7 @@
 
 // streamTimeout returns how long a stream may pause before it is resumed at another server.
 func streamTimeout(gap time.Duration) time.Duration {
-	return max(streamTimeoutGaps*gap, minStreamTimeout)
+	return max(streamTimeoutGapFactor*gap, minStreamTimeout)
 }
 
 // prefillTimes keeps a moving mean of the time that prefill takes, by service. It is safe for concurrent
--- a/internal/router/dataplane/timeouts_test.go
+++ b/internal/router/dataplane/timeouts_test.go
@@ -21,8 +21,8 @@
 		target, expected, left, want time.Duration
 	}{
 		{"the minimum", short, 0, 5 * time.Second, minResponseTimeout},
-		{"a multiple of the target", long, 0, 5 * time.Second, responseTimeoutTargets * long},
-		{"a multiple of the expected time", short, long, 5 * time.Second, responseTimeoutFactor * long},
+		{"a multiple of the target", long, 0, 5 * time.Second, responseTimeoutTargetFactor * long},
+		{"a multiple of the expected time", short, long, 5 * time.Second, responseTimeoutExpectedFactor * long},
 		{"no time for another server", long, 0, 2 * time.Second, 2 * time.Second},
 		{"no time for one after the expected time", short, long, 4 * time.Second, 4 * time.Second},
 	} {
