--- a/internal/router/dataplane/accept.go
+++ b/internal/router/dataplane/accept.go
@@ -23,7 +23,7 @@
 		return
 	}
 	// An accepted socket is connected already, so the option is all that is missing.
-	_ = setUserTimeout(socket.raw, clientTimeout)
+	_ = setUserTimeout(socket.raw, clientUnackedTimeout)
 	client := &client{proxy: p, socket: socket}
 	if !p.addClient(client) {
 		conn.Close()
--- a/internal/router/dataplane/buffered.go
+++ b/internal/router/dataplane/buffered.go
@@ -8,17 +8,19 @@
 	"cresshub/internal/http1"
 )
 
-// maxBufferedResponse is how much of a response is buffered, in bytes; a larger one is forwarded as it comes.
-const maxBufferedResponse = 64 << 10
+// maxBufferedBodyBytes is the largest response body that is buffered; a larger one is forwarded as it
+// arrives.
+const maxBufferedBodyBytes = 64 << 10
 
-// bufferedResponse is a server's response, or the beginning of one, in memory.
+// bufferedResponse is a server's response, or the first part of one, in memory.
 type bufferedResponse struct {
 	head *http1.Response
 	body []byte
 }
 
-// bufferResponse reads a response into memory. If it is too large for that, or no memory is left, it
-// returns the beginning; body.Complete reports which.
+// bufferResponse reads a response into memory. If the body is larger than maxBufferedBodyBytes, or the memory
+// budget for bodies is used up, it returns the first part of the response; response.body.Complete then
+// reports false.
 func (c *call) bufferResponse(response serverResponse) (*bufferedResponse, error) {
 	body := response.body
 	buffered := &bufferedResponse{head: response.head}
@@ -36,15 +38,16 @@
 	return buffered, nil
 }
 
-// growBuffer enlarges the buffer of a response, whose length is -1 if it is not known. The buffer is
-// counted as the request's.
+// growBuffer enlarges the buffer of a response and reports whether the limits permitted it. length is the
+// length of the response's body, -1 if it is not known. The buffer is reserved from the memory budget as part
+// of the client's request.
 func (c *client) growBuffer(buffered *bufferedResponse, length int64) bool {
 	size := max(2*cap(buffered.body), initialBodyBuffer)
 	if length >= 0 {
-		size = int(min(length, maxBufferedResponse))
+		size = int(min(length, maxBufferedBodyBytes))
 	}
 	more := size - cap(buffered.body)
-	if more <= 0 || size > maxBufferedResponse || !c.proxy.bodies.Reserve(more) {
+	if more <= 0 || size > maxBufferedBodyBytes || !c.proxy.bodies.Reserve(more) {
 		return false
 	}
 	c.reservedBytes += more
--- a/internal/router/dataplane/call.go
+++ b/internal/router/dataplane/call.go
@@ -8,27 +8,27 @@
 )
 
 // call is one attempt of a request at one server, on one connection. It belongs to the client's goroutine.
-// The scheduler counts it as in flight from newCall until finish, which ends each call exactly once.
+// The scheduler counts it as in flight from newCall until finish, which is called exactly once for each call.
 type call struct {
 	roundTrip *roundTrip
-	choice    *scheduler.Call // the server, and what the scheduler expects of it
+	choice    *scheduler.Call // the chosen server, and the scheduler's estimates for the call
 	role      scheduler.Role
 
 	conn          *connection   // nil before connect and after disconnect
-	mustClose     bool          // the connection must not be used again
+	mustClose     bool          // the connection must not be reused
 	outOfSync     bool          // responses to other requests may follow on the connection
-	keepAliveTime time.Duration // how long the server keeps the connection, 0 if it closes it
+	keepAliveTime time.Duration // how long the connection may stay idle after the call, 0 if it must be closed
 
-	partlySent      bool // not all of the request was sent; the system may have reported a reset already
-	responseStarted bool // the head of the response has arrived
+	partlySent   bool // sending the request failed; that error may have consumed the report of a reset
+	headReceived bool // the head of the response has arrived
 
-	started          time.Time     // zero before the request is sent
-	timeToHead       time.Duration // from started to the head of the response
-	timeToFirstEvent time.Duration // from started to the first complete event
+	sendStarted      time.Time     // zero before the request is sent
+	timeToHead       time.Duration // from sendStarted to the head of the response
+	timeToFirstEvent time.Duration // from sendStarted to the first complete event
 }
 
-// run makes the call and forwards its response to the client. It returns nil if the client has the
-// complete response.
+// run makes the call and forwards its response to the client. It returns nil if the complete response was
+// forwarded.
 func (c *call) run() *callFailure {
 	if failure := c.connect(); failure != nil {
 		return c.finish(failure)
@@ -40,7 +40,8 @@
 	return c.finish(failure)
 }
 
-// finish reports to the scheduler how the call ended, and keeps or closes its connection.
+// finish reports the call's outcome to the scheduler, and returns its connection to the pool or closes it. A
+// failure after the round trip was stopped counts as Abandoned.
 func (c *call) finish(failure *callFailure) *callFailure {
 	c.roundTrip.inFlight = nil
 	outcome := scheduler.Served
@@ -58,20 +59,20 @@
 	return failure
 }
 
-// exchange sends the request and reads the head of its response, which may arrive although the request could
-// not be sent completely.
+// exchange sends the request and reads the head of its response. A response may arrive even if the request
+// could not be sent completely.
 func (c *call) exchange() (serverResponse, *callFailure) {
-	c.started = time.Now()
+	c.sendStarted = time.Now()
 	sendFailure := c.send()
 	switch {
 	case sendFailure == nil:
-		c.setReadDeadline(c.started, c.firstByteDeadline(), c.roundTrip.request.deadline)
+		c.setReadDeadline(c.sendStarted, c.firstByteDeadline(), c.roundTrip.request.deadline)
 	case sendFailure.execution == notSent:
 		return serverResponse{}, sendFailure
-	default: // a server that rejects a request need not read all of it
+	default: // a server may reject a request without reading all of it
 		c.outOfSync, c.partlySent = true, true
 		now := time.Now()
-		c.setReadDeadline(now, now.Add(earlyResponseTime), c.roundTrip.request.deadline)
+		c.setReadDeadline(now, now.Add(earlyResponseTimeout), c.roundTrip.request.deadline)
 	}
 	c.roundTrip.proxy.counters.calls.Add(1)
 	if sendFailure == nil {
@@ -84,7 +85,7 @@
 	return response, failure
 }
 
-// logEnd logs the call together with what the scheduler expected of it; package latereport reads these lines.
+// logEnd logs the call together with the scheduler's estimates for it. Package latereport parses these lines.
 func (c *call) logEnd(outcome scheduler.Outcome) {
 	event := c.roundTrip.proxy.log.Debug()
 	if !event.Enabled() {
@@ -100,10 +101,10 @@
 		Dur("event_ms", c.timeToFirstEvent).Dur("took_ms", took).Msg("front: call")
 }
 
-// elapsed is the time since the request was sent, 0 if it was not.
+// elapsed returns the time since sending of the request started, 0 if it was not sent.
 func (c *call) elapsed() time.Duration {
-	if c.started.IsZero() {
+	if c.sendStarted.IsZero() {
 		return 0
 	}
-	return time.Since(c.started)
+	return time.Since(c.sendStarted)
 }
--- a/internal/router/dataplane/connect.go
+++ b/internal/router/dataplane/connect.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// The bounds of the time that a connection may take to open.
+	// The bounds of the timeout for opening a connection.
 	minDialTimeout = 300 * time.Millisecond
 	maxDialTimeout = time.Second
 )
 
-// connect gets a connection to the server, from the pool or by dialling. Until disconnect, stop closes it.
+// connect gets a connection to the server, from the pool or by dialling. From then until disconnect,
+// roundTrip.stop closes the connection, or cancels the dial.
 func (c *call) connect() *callFailure {
 	rt := c.roundTrip
 	abandoned := &callFailure{outcome: scheduler.Abandoned, execution: notSent}
@@ -28,7 +29,7 @@
 	}
 	conn, err := rt.proxy.pool.get(ctx, c.connectionSpec())
 	switch {
-	case errors.Is(err, errNoConnectionFree):
+	case errors.Is(err, errConnectionLimit):
 		return abandoned
 	case c.dialEndedByStall(err, started):
 		return abandoned
@@ -39,7 +40,7 @@
 	c.conn, c.mustClose = conn, true
 	invariant.Assert(conn.server == c.choice.Server.ID, invariant.ConnectionOfServer,
 		"a connection to %s was taken for %s", conn.server, c.choice.Server.ID)
-	// The server may have left the table while the connection was opened.
+	// The server may have been removed from the table while the connection was being opened.
 	if !rt.setAbortable(conn) || rt.timeLeft() < minTimeLeft ||
 		rt.proxy.servers().ByID(c.choice.Server.ID) == nil {
 		return abandoned
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// connectionSpec returns what this call needs of its connection.
+// connectionSpec returns the requirements of this call for its connection.
 func (c *call) connectionSpec() connectionSpec {
 	req := c.roundTrip.request
 	spec := connectionSpec{
@@ -62,15 +63,16 @@
 	return spec
 }
 
-// dialEndedByStall reports whether the request's time was over before the server had its own, as this process
-// did not run.
+// dialEndedByStall reports whether dialling timed out because this process had stalled: the request's
+// deadline passed before this process had run for the full dial timeout.
 func (c *call) dialEndedByStall(err error, started time.Time) bool {
 	clock := c.roundTrip.proxy.clock
 	timedOut := errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded)
 	return timedOut && clock.StalledSince(started) > 0 && clock.Left(started, c.dialTimeout()) > 0
 }
 
-// connectContext ends when the connection counts as failed that is not open yet.
+// connectContext returns a context that ends at the request's deadline or after the dial timeout, whichever
+// is earlier.
 func (c *call) connectContext() (context.Context, context.CancelFunc) {
 	untilDeadline, cancelDeadline := context.WithDeadline(context.Background(), c.roundTrip.request.deadline)
 	ctx, cancel := c.roundTrip.proxy.clock.WithTimeout(untilDeadline, c.dialTimeout())
@@ -80,12 +82,13 @@
 	}
 }
 
-// dialTimeout is how long a connection may take to open, in time in which this process runs.
+// dialTimeout returns how long a connection may take to open, not counting time in which this process is
+// stalled.
 func (c *call) dialTimeout() time.Duration {
 	return min(max(c.roundTrip.request.route.LatencyTarget/2, minDialTimeout), maxDialTimeout)
 }
 
-// disconnect returns the connection to the pool, or closes it where it must not be used again.
+// disconnect returns the connection to the pool, or closes it if it must not be reused.
 func (c *call) disconnect() {
 	if c.conn == nil {
 		return
@@ -101,7 +104,7 @@
 	c.conn = nil
 }
 
-// canceller is an io.Closer that cancels the opening of a connection.
+// canceller is an io.Closer that cancels the dial of a connection.
 type canceller context.CancelFunc
 
 func (c canceller) Close() error {
--- a/internal/router/dataplane/connection.go
+++ b/internal/router/dataplane/connection.go
@@ -10,53 +10,55 @@
 )
 
 const (
-	// defaultIdleTime is how long a connection stays idle whose server does not announce a time; it would
-	// announce whole seconds.
+	// defaultIdleTime is how long a connection may stay idle if its server announces no Keep-Alive timeout. It
+	// is less than one second, the shortest timeout that a server could announce.
 	defaultIdleTime = 900 * time.Millisecond
-	// maxIdleTime bounds how long a connection stays idle, whatever its server announces.
+	// maxIdleTime limits how long a connection may stay idle, whatever timeout its server announces.
 	maxIdleTime = 30 * time.Second
-	// maxIdleTimeUnsafe bounds it for requests that must not be sent twice: if the server closes the connection
-	// while the request is on its way, nobody knows whether it ran.
+	// maxIdleTimeUnsafe is the limit for requests that must not be sent twice: if the server closes the
+	// connection while such a request is in transit, it is unknown whether the request ran.
 	maxIdleTimeUnsafe = 4 * time.Second
-	// keepAliveMargin is subtracted from the time that a server announces.
+	// keepAliveMargin is subtracted from the Keep-Alive timeout that a server announces.
 	keepAliveMargin = 500 * time.Millisecond
 )
 
-// connection is a connection to a server's incarnation. It is idle in the pool, or one call uses it and may
-// touch its fields; only Close may be called by another goroutine meanwhile (roundTrip.stop).
+// connection is a connection to one incarnation of a server. It is either idle in the pool or used by one
+// call, whose goroutine may then access its fields. Other goroutines may meanwhile call only Close
+// (roundTrip.stop).
 type connection struct {
 	*socket
 	server      string      // id of the incarnation
-	reused      bool        // it has carried a request before
+	reused      bool        // it has carried an earlier request
 	lastRequest uint64      // number of the last request on it, 0 for one of the proxy's own
-	largeBody   atomic.Bool // its last request has a large body; Close reads it
-	idleSince   time.Time   // the zero time before it was idle
+	largeBody   atomic.Bool // its last request has a large body; read by Close, on any goroutine
+	idleSince   time.Time   // zero if it has never been idle
 	expiresAt   time.Time   // when its server may close it; set while it is idle
 }
 
-// connectionSpec is what a call needs of its connection.
+// connectionSpec states the requirements of a call for its connection.
 type connectionSpec struct {
 	server       *catalog.Server
-	maxPerServer int           // connections of this proxy to the server, 0 if there is no bound
-	maxIdle      time.Duration // for how long the connection may have been idle
-	// requestNumber is the number of the client's request, 0 for one of the proxy's own. The connection
-	// must not have carried it before: a server that answers twice would answer the second call with the
-	// first one's response.
+	maxPerServer int           // limit of this proxy's connections to the server, 0 for no limit
+	maxIdle      time.Duration // how long the connection may have been idle
+	// requestNumber is the number of the client's request, 0 for one of the proxy's own. The last request on
+	// the connection must not have been the same one: if a server responded twice to the earlier call, the
+	// second response would be taken for that of this call, because both carry the same Cresshub-Try-Id.
 	requestNumber uint64
 }
 
-// suitable reports whether an idle connection may carry the call.
+// suitable reports whether an idle connection meets the requirements of a call.
 func (c *connection) suitable(spec connectionSpec) bool {
 	repeated := spec.requestNumber != 0 && c.lastRequest == spec.requestNumber
 	return c.server == spec.server.ID && !repeated && c.fresh(spec, time.Now())
 }
 
-// fresh reports whether an idle connection is young enough for the call.
+// fresh reports whether an idle connection has not expired, and has not been idle for too long for the call.
 func (c *connection) fresh(spec connectionSpec, now time.Time) bool {
 	return now.Before(c.expiresAt) && now.Sub(c.idleSince) <= spec.maxIdle
 }
 
-// keepAliveTime is how long a connection may stay idle after such a response, 0 if it ends.
+// keepAliveTime returns how long a connection may stay idle after a response with this head, 0 if it must be
+// closed.
 func keepAliveTime(head *http1.Response) time.Duration {
 	if head.Close {
 		return 0
--- a/internal/router/dataplane/events.go
+++ b/internal/router/dataplane/events.go
@@ -5,17 +5,17 @@
 	"strconv"
 )
 
-// maxEventBytes bounds what is buffered of an incomplete event.
+// maxEventBytes limits how much of an incomplete event is buffered.
 const maxEventBytes = 64 << 10
 
-// eventSplitter splits a stream of bytes into server-sent events, each with the blank line that ends it.
+// eventSplitter splits a byte stream into server-sent events, each including the blank line that ends it.
 type eventSplitter struct {
 	buffer     []byte
-	eventStart int // of the event that is not complete yet
-	lineStart  int // of the first line that was not scanned yet
+	eventStart int // offset in buffer of the event that is not complete yet
+	lineStart  int // offset in buffer of the first line that was not scanned yet
 }
 
-// feed adds bytes. Events that next returned before are not valid any more.
+// feed appends bytes to the stream. It invalidates the events that next returned before.
 func (s *eventSplitter) feed(data []byte) {
 	if s.eventStart > 0 {
 		remaining := copy(s.buffer, s.buffer[s.eventStart:])
@@ -43,13 +43,13 @@
 	}
 }
 
-// partial is what has arrived of an incomplete event.
+// partial returns what has arrived of an incomplete event.
 func (s *eventSplitter) partial() []byte { return s.buffer[s.eventStart:] }
 
-// reset drops all that is buffered, for the stream of another server.
+// reset discards all buffered bytes, before the stream of another server is read.
 func (s *eventSplitter) reset() { s.buffer, s.eventStart, s.lineStart = s.buffer[:0], 0, 0 }
 
-// eventID returns the number in an event's id line.
+// eventID returns the number in an event's id line; ok is false if there is no such line or no number in it.
 func eventID(event []byte) (id int64, ok bool) {
 	for len(event) > 0 {
 		line := event
@@ -68,15 +68,15 @@
 	return 0, false
 }
 
-// eventOrder follows the ids of a stream's events.
+// eventOrder tracks the ids of a stream's events.
 type eventOrder struct {
-	lastID      int64 // of the last event that was forwarded
-	hasLast     bool  // lastID is known
-	consecutive bool  // ids have risen by exactly one so far, and the service's stride is one
-	resumed     bool  // another server has resumed the stream
+	lastID      int64 // of the last event that was forwarded, or that the client already had
+	lastIDKnown bool
+	consecutive bool // ids have increased by one so far; false if the service may put several tokens in an event
+	resumed     bool // another server has resumed the stream
 }
 
-// eventAction is what is done with an event.
+// eventAction determines how an event is handled.
 type eventAction int
 
 const (
@@ -85,10 +85,10 @@
 	actionGap                 // events before it are missing
 )
 
-// decide returns what is done with the event of that id. What the first server sends is forwarded as it is.
+// decide returns how the event with the given id is handled. All events of the first server are forwarded.
 func (o *eventOrder) decide(id int64) eventAction {
 	switch {
-	case !o.hasLast:
+	case !o.lastIDKnown:
 	case o.resumed && id <= o.lastID:
 		return actionSkip
 	case o.resumed && o.consecutive && id != o.lastID+1:
@@ -96,11 +96,11 @@
 	case id != o.lastID+1:
 		o.consecutive = false
 	}
-	o.lastID, o.hasLast = id, true
+	o.lastID, o.lastIDKnown = id, true
 	return actionForward
 }
 
-// hasData reports whether an event carries data.
+// hasData reports whether an event has a data line.
 func hasData(event []byte) bool {
 	return bytes.HasPrefix(event, []byte("data:")) || bytes.Contains(event, []byte("\ndata:"))
 }
--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err := io.CopyN(io.Discard, body, maxBufferedResponse); !errors.Is(err, io.EOF) {
+	if _, err := io.CopyN(io.Discard, body, maxBufferedBodyBytes); !errors.Is(err, io.EOF) {
 		return 0, errReleaseNotRead
 	}
 	return keepAliveTime(head), nil
--- a/internal/router/dataplane/limits.go
+++ b/internal/router/dataplane/limits.go
@@ -44,5 +44,5 @@
 	if service.MaxConnections <= 0 {
 		return 0
 	}
-	return max(service.MaxConnections/max(p.state.Proxies(), 1), minPerServer)
+	return max(service.MaxConnections/max(p.state.Proxies(), 1), minConnectionsPerServer)
 }
--- a/internal/router/dataplane/pool.go
+++ b/internal/router/dataplane/pool.go
@@ -12,33 +12,36 @@
 )
 
 const (
-	// minPerServer is how many connections to a server a proxy may have however many proxies there are.
-	minPerServer  = 2
+	// minConnectionsPerServer is how many connections a proxy may have to each server, no matter among how many
+	// proxies the service's limit is divided.
+	minConnectionsPerServer = 2
+	// sweepInterval is the time between two checks of the idle connections.
 	sweepInterval = time.Second
 )
 
-// errNoConnectionFree means that as many connections are in use as the limits allow.
-var errNoConnectionFree = errors.New(
-	"all connections that this proxy may have to the server are in use; use another",
+// errConnectionLimit means that the limit of connections, to the server or to all servers, is reached and no
+// idle connection can be closed to make room.
+var errConnectionLimit = errors.New(
+	"connection limit reached, and no connection is idle",
 )
 
-// pool keeps the connections to servers, by incarnation. It is safe for concurrent use.
+// pool manages the connections to servers, by incarnation. It is safe for concurrent use.
 type pool struct {
 	counters *counters
 	clock    *stallclock.Clock
-	isListed func(server string) bool // reports whether the server is in the present table
-	maxOpen  int                      // to all servers together
+	isListed func(server string) bool // reports whether the server is in the current table
+	maxOpen  int                      // limit of connections to all servers together
 
-	mu       sync.Mutex // guards what follows
-	open     int        // to all servers together
+	mu       sync.Mutex // guards the fields below
+	open     int        // connections to all servers together
 	servers  map[string]*serverConnections
 	sweeping bool // a sweep is scheduled
 }
 
-// serverConnections are the connections to one incarnation. There is an entry as long as one is open.
+// serverConnections are the connections to one incarnation. The pool has an entry while at least one is open.
 type serverConnections struct {
 	open int           // in use, idle, or being dialled
-	idle []*connection // the one used last at the end
+	idle []*connection // the most recently used one is last
 }
 
 func newPool(counters *counters, clock *stallclock.Clock, maxOpen int,
@@ -47,7 +50,8 @@
 		servers: map[string]*serverConnections{}}
 }
 
-// get returns a quiet connection: the one used last, or else a new one, whose dialling ctx bounds.
+// get returns a connection without pending input: the most recently used idle one that is suitable, or else a
+// new one. ctx applies to dialling.
 func (p *pool) get(ctx context.Context, spec connectionSpec) (*connection, error) {
 	for {
 		conn, err := p.reserve(spec, time.Now())
@@ -57,7 +61,7 @@
 		if conn == nil {
 			return p.dial(ctx, spec)
 		}
-		if conn.suitable(spec) && conn.quiet() {
+		if conn.suitable(spec) && conn.hasNoPendingInput() {
 			conn.reused, conn.lastRequest = true, spec.requestNumber
 			p.counters.reused.Add(1)
 			return conn, nil
@@ -66,8 +70,9 @@
 	}
 }
 
-// reserve returns an idle connection, or nil after it has reserved a slot for a new one. Where all slots
-// are taken the idle connection may be too old, or to another server: to be closed for its slot.
+// reserve returns an idle connection, or nil after it has reserved a slot for a new one. If all slots are
+// taken, the idle connection may be expired or belong to another server; get then discards it and reserves
+// again, to use its slot.
 func (p *pool) reserve(spec connectionSpec, now time.Time) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,9 +83,9 @@
 	if last := len(conns.idle) - 1; last >= 0 && conns.idle[last].fresh(spec, now) {
 		return conns.popLast(), nil
 	}
-	if spec.maxPerServer > 0 && conns.open >= max(spec.maxPerServer, minPerServer) {
+	if spec.maxPerServer > 0 && conns.open >= max(spec.maxPerServer, minConnectionsPerServer) {
 		if len(conns.idle) == 0 {
-			return nil, errNoConnectionFree
+			return nil, errConnectionLimit
 		}
 		return conns.popLast(), nil
 	}
@@ -93,17 +98,17 @@
 	return nil, nil
 }
 
-// popAny returns an idle connection to any server.
+// popAny removes an idle connection to any server from the pool and returns it.
 func (p *pool) popAny() (*connection, error) {
 	for _, conns := range p.servers {
 		if len(conns.idle) > 0 {
 			return conns.popLast(), nil
 		}
 	}
-	return nil, errNoConnectionFree
+	return nil, errConnectionLimit
 }
 
-// popLast takes the connection that was used last out of the idle ones.
+// popLast removes the most recently used connection from the idle ones and returns it.
 func (s *serverConnections) popLast() *connection {
 	last := len(s.idle) - 1
 	conn := s.idle[last]
@@ -114,7 +119,7 @@
 
 // dial opens a connection in a slot that reserve has reserved.
 func (p *pool) dial(ctx context.Context, spec connectionSpec) (*connection, error) {
-	dialer := net.Dialer{Control: controlServer, KeepAlive: -1}
+	dialer := net.Dialer{Control: setServerSocketOptions, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", spec.server.Address)
 	if err != nil {
 		p.releaseSlot(spec.server.ID)
@@ -130,7 +135,7 @@
 	return &connection{socket: socket, server: spec.server.ID, lastRequest: spec.requestNumber}, nil
 }
 
-// put returns a connection to the pool; keepAlive is how long the server keeps it open.
+// put returns a connection to the pool; keepAlive is how long it may stay idle.
 func (p *pool) put(conn *connection, keepAlive time.Duration) {
 	if keepAlive <= 0 || conn.hasBufferedInput() {
 		p.discard(conn)
@@ -149,12 +154,12 @@
 
 // discard closes a connection and releases its slot.
 func (p *pool) discard(conn *connection) {
-	_ = conn.Close() // nothing is left to be done for a connection that is given up
+	_ = conn.Close() // the connection is not used any more, so an error has no consequence
 	conn.returnBuffers()
 	p.releaseSlot(conn.server)
 }
 
-// releaseSlot ends the count of a connection that is closed or could not be opened.
+// releaseSlot releases the slot of a connection that is closed or could not be opened.
 func (p *pool) releaseSlot(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +172,8 @@
 		"%d connections, %d to %s of which %d are idle", p.open, conns.open, server, len(conns.idle))
 }
 
-// scheduleSweep schedules the next sweep, as long as there are idle connections. mu is locked.
+// scheduleSweep schedules the next sweep unless one is scheduled already. The caller holds mu, and calls it
+// only while there are idle connections.
 func (p *pool) scheduleSweep() {
 	if !p.sweeping {
 		p.sweeping = true
@@ -175,14 +181,14 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long, or whose server has left the table.
+// sweep closes idle connections that have expired or whose server is no longer in the table.
 func (p *pool) sweep() {
 	for _, conn := range p.takeExpired(time.Now()) {
 		p.discard(conn)
 	}
 }
 
-// takeExpired takes the connections that sweep closes out of the pool.
+// takeExpired removes the connections that sweep closes from the pool and returns them.
 func (p *pool) takeExpired(now time.Time) (expired []*connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/dataplane/pool_test.go
+++ b/internal/router/dataplane/pool_test.go
@@ -56,7 +56,7 @@
 		getConnection(c, pool, a)
 	}
 	_, err := pool.get(context.Background(), a)
-	c.Assert(err, qt.Equals, errNoConnectionFree)
+	c.Assert(err, qt.Equals, errConnectionLimit)
 
 	pool, a, _ = newTestPool(t, 9)
 	a.maxPerServer = 2
@@ -74,7 +74,7 @@
 	pool, a, b := newTestPool(t, 2)
 	idle, busy := getConnection(c, pool, a), getConnection(c, pool, a)
 	_, err := pool.get(context.Background(), b)
-	c.Assert(err, qt.Equals, errNoConnectionFree)
+	c.Assert(err, qt.Equals, errConnectionLimit)
 	pool.put(idle, time.Minute)
 	other := getConnection(c, pool, b)
 	c.Assert(other.server, qt.Equals, "b")
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -38,7 +38,7 @@
 		rt.attempts.recordRejected()
 	case mayHaveRun:
 		rt.attempts.recordAccepted(scheduler.Prefill)
-		if !call.responseStarted { // it may have been queued there, which makes the next call a retry
+		if !call.headReceived { // it may have been queued there, which makes the next call a retry
 			rt.attempts.unpaidPrefills++
 		}
 		return failure.outcome != scheduler.TimedOut // a timeout leaves too little time for a second one
@@ -57,7 +57,7 @@
 		failure = c.receiveHandle(response)
 	}
 	if failure == nil || failure.outcome == scheduler.TimedOut {
-		c.roundTrip.proxy.prefillTimes.record(c.roundTrip.request.service.Name, time.Since(c.started))
+		c.roundTrip.proxy.prefillTimes.record(c.roundTrip.request.service.Name, time.Since(c.sendStarted))
 	}
 	return c.finish(failure)
 }
--- a/internal/router/dataplane/readdeadline.go
+++ b/internal/router/dataplane/readdeadline.go
@@ -7,23 +7,23 @@
 	"cresshub/internal/stallclock"
 )
 
-// firstByteDeadline is when the call counts as timed out if no byte of its response has arrived.
+// firstByteDeadline returns when the call counts as timed out if no byte of its response has arrived.
 func (c *call) firstByteDeadline() time.Time {
 	rt := c.roundTrip
 	if c.role == scheduler.Prefill {
 		usual := rt.proxy.prefillTimes.expected(rt.request.service.Name)
-		return c.started.Add(prefillTimeout(max(usual, c.choice.UncachedPrefill()), rt.timeLeft()))
+		return c.sendStarted.Add(prefillTimeout(max(usual, c.choice.UncachedPrefill()), rt.timeLeft()))
 	}
 	if !rt.couldRetry() {
 		return rt.request.deadline
 	}
-	return c.started.Add(responseTimeout(rt.request.route.LatencyTarget,
-		c.choice.Expected().TimeToFirstByte, rt.request.deadline.Sub(c.started)))
+	return c.sendStarted.Add(responseTimeout(rt.request.route.LatencyTarget,
+		c.choice.Expected().TimeToFirstByte, rt.request.deadline.Sub(c.sendStarted)))
 }
 
-// extendReadDeadline reports whether to go on waiting for a server that has timed out, because no retry could
-// replace it: none is left, or there is no other server. It then sets a later deadline, at which it is called
-// again, up to the response's deadline.
+// extendReadDeadline reports whether to keep waiting for a server that has timed out, because no retry can
+// replace the call: none is permitted, or no other server could answer. It then sets a later read deadline,
+// after which it is called again, up to the deadline of the response.
 func (c *call) extendReadDeadline() bool {
 	rt := c.roundTrip
 	deadline := rt.responseDeadline()
@@ -39,22 +39,22 @@
 	return true
 }
 
-// setReadDeadline sets until when the server is waited for that has been waited for since from: until at,
-// plus the time in which this process does not run, but not after the limit.
+// setReadDeadline sets the deadline for reading from the server. The wait counts from the time from and ends
+// at the time at, extended by the time in which this process is stalled, but not beyond limit.
 func (c *call) setReadDeadline(from, at, limit time.Time) {
 	c.conn.SetRead(stallclock.Deadline{From: from, At: earlier(at, limit), Limit: limit})
 }
 
-// hasAlternative reports whether another server could replace this one. A client that has a part of a stream
-// would lose the rest if all other servers rejected the request, so one of them must have a free slot. Before
-// the response has begun, the existence of another server is enough.
+// hasAlternative reports whether another server could replace this one. Once a part of a response was
+// forwarded, another server must have a free slot: if all of them rejected the request, the client would lose
+// the rest of the stream. Before that, it is enough that another server exists.
 func (c *call) hasAlternative() bool {
 	rt := c.roundTrip
 	alternative := rt.proxy.chooser.alternative(&rt.request.scheduling, c.choice.Server.ID)
 	return alternative.HasFreeSlot || alternative.Exists && !rt.relay.started
 }
 
-// bufferDeadline is when a response counts as broken that has begun and is not buffered completely.
+// bufferDeadline returns when a response that has begun counts as timed out if it is not buffered completely.
 func (c *call) bufferDeadline() time.Time {
 	rt := c.roundTrip
 	if !rt.couldRetry() {
@@ -64,13 +64,13 @@
 		rt.timeLeft())))
 }
 
-// gapDeadline is when a stream counts as broken if its server sends nothing more.
+// gapDeadline returns when a stream counts as timed out if its server sends nothing more.
 func (r *relay) gapDeadline(call *call) time.Time {
 	rt := call.roundTrip
 	if !r.started {
 		return call.firstByteDeadline()
 	}
-	if !r.replaceable || !r.canSwitchServer() { // a pause alone ends nothing
+	if !r.replaceable || !r.canSwitchServer() { // a pause is no reason to end a stream that can't be resumed
 		return rt.request.hardDeadline
 	}
 	return earlier(rt.request.hardDeadline, time.Now().Add(streamTimeout(rt.request.route.GapTarget)))
--- a/internal/router/dataplane/readdeadline_test.go
+++ b/internal/router/dataplane/readdeadline_test.go
@@ -28,7 +28,7 @@
 		{"no attempt is left", "safe", 100, func(call *call) { call.roundTrip.attempts.count = 2 }, true},
 		{"not idempotent", "unsafe", 100, func(*call) {}, true},
 		{"a resumable stream", "stream", 100, func(call *call) {
-			call.roundTrip.relay.started, call.roundTrip.relay.order.hasLast = true, true
+			call.roundTrip.relay.started, call.roundTrip.relay.order.lastIDKnown = true, true
 		}, false},
 		{"a stream that is not resumable", "stream", 100,
 			func(call *call) { call.roundTrip.relay.started = true }, true},
@@ -74,7 +74,9 @@
 // A server that has timed out and that no other one could replace is waited for: giving it up would end the
 // response sooner, and for nothing.
 func TestServerIsWaitedForWhereNoOtherCanAnswer(t *testing.T) {
-	begun := func(call *call) { call.roundTrip.relay.started, call.roundTrip.relay.order.hasLast = true, true }
+	begun := func(call *call) {
+		call.roundTrip.relay.started, call.roundTrip.relay.order.lastIDKnown = true, true
+	}
 	untouched := func(*call) {}
 	other := &fakeServer{Server: &catalog.Server{ID: "i-2", Service: "lookup", State: catalog.Ready}}
 	for _, test := range []struct {
--- a/internal/router/dataplane/readstate.go
+++ b/internal/router/dataplane/readstate.go
@@ -8,19 +8,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet reports whether nothing waits to be read, neither here nor in the system: no byte and no end.
-func (s *socket) quiet() bool { return !s.hasBufferedInput() && s.readState() == notReadable }
+// hasNoPendingInput reports whether there is nothing to read, neither bytes nor the end of the stream, in the
+// buffer or in the kernel.
+func (s *socket) hasNoPendingInput() bool {
+	return !s.hasBufferedInput() && s.readState() == notReadable
+}
 
-// readState is what the system's side of a connection has for a reader.
+// readState is what a read from the kernel would find on a connection.
 type readState int
 
 const (
-	notReadable readState = iota // neither bytes nor an end
-	readable
-	readClosed // the other side has ended its sending, or the connection is broken
+	notReadable readState = iota // neither bytes nor the end of the stream: a read would block
+	readable                     // bytes are available
+	readClosed                   // the other side has closed its sending direction, or the connection is broken
 )
 
-// readState returns what waits in the system, and leaves it there.
+// readState returns what a read from the kernel would find, without consuming it.
 func (s *socket) readState() readState {
 	state := readClosed
 	err := s.raw.Control(func(fd uintptr) { state = peek(fd) })
@@ -30,7 +33,7 @@
 	return state
 }
 
-// peek returns what waits at a descriptor, without blocking.
+// peek returns what a read from a file descriptor would find, without blocking and without consuming it.
 func peek(fd uintptr) readState {
 	var one [1]byte
 	for {
@@ -47,8 +50,8 @@
 	}
 }
 
-// awaitReadable waits until bytes or an end can be read, and leaves them in the system. It returns
-// notReadable where the read deadline passed.
+// awaitReadable waits until bytes or the end of the stream can be read, without consuming them. It returns
+// notReadable if the read deadline passed first.
 func (s *socket) awaitReadable() readState {
 	for {
 		state := notReadable
@@ -65,8 +68,8 @@
 	}
 }
 
-// hungUp reports whether the other side has ended its sending or the connection is broken, also where bytes
-// wait before the end.
+// hungUp reports whether the other side has closed its sending direction or the connection is broken, even if
+// bytes that have not been read yet precede the end.
 func (s *socket) hungUp() bool {
 	closed := true
 	err := s.raw.Control(func(fd uintptr) {
--- a/internal/router/dataplane/relay.go
+++ b/internal/router/dataplane/relay.go
@@ -8,42 +8,43 @@
 	"cresshub/internal/http1"
 )
 
-// relay forwards the responses of servers to the client: at most one head, and one body that several
-// servers may have contributed to. It belongs to the client's goroutine.
+// relay forwards the responses of servers to the client: at most one head, and one body to which several
+// servers may contribute. It belongs to the client's goroutine.
 type relay struct {
 	client  *client
 	request *request
 
-	// The response to the client.
+	// State of the response to the client.
 	started   bool // the head has been sent
 	complete  bool // the response has been sent completely
-	keepAlive bool // the client's connection goes on after it
-
-	// Of a stream.
-	out           http1.BodyWriter // set when the stream has started
-	events        eventSplitter    // of the server that sends now
-	order         eventOrder
-	replaceable   bool  // another server may resume the stream
-	hasUnnumbered bool  // data without an id was forwarded, so nobody can tell where to resume
-	lastForwarded int64 // id of the last event that the client got, or had before
+	keepAlive bool // the client's connection stays open after it
+
+	// State of a stream.
+	out              http1.BodyWriter // set when the stream has started
+	events           eventSplitter    // of the current server
+	order            eventOrder
+	replaceable      bool  // a retry was permitted when the current server's stream began
+	hasDataWithoutID bool  // data without an id was forwarded, so the point to resume from is unknown
+	lastForwarded    int64 // id of the last event that was forwarded, or that the client already had
 }
 
 func newRelay(client *client, req *request) relay {
 	relay := relay{client: client, request: req}
 	relay.order.consecutive = req.service.Engine == nil || req.service.Engine.MaxTokensPerEvent <= 1
 	if last, err := strconv.ParseInt(req.Header.Get(lastEventHeader), 10, 64); err == nil {
-		relay.order.lastID, relay.order.hasLast, relay.lastForwarded = last, true, last
+		relay.order.lastID, relay.order.lastIDKnown, relay.lastForwarded = last, true, last
 	}
 	return relay
 }
 
-// canSwitchServer reports whether another server may be asked: for the complete response, or for the rest of
-// a stream.
+// canSwitchServer reports whether another server may be called: for the complete response if none has begun,
+// otherwise for the rest of a stream.
 func (r *relay) canSwitchServer() bool {
-	return !r.started || r.request.route.Resumable && r.order.hasLast && !r.hasUnnumbered
+	return !r.started || r.request.route.Resumable && r.order.lastIDKnown && !r.hasDataWithoutID
 }
 
-// setResumePoint turns a request into one for the rest of the stream, where a part has been forwarded.
+// setResumePoint sets Last-Event-Id so that the server sends only the rest of the stream, if a part of it has
+// been forwarded.
 func (r *relay) setResumePoint(message *http1.Request) *http1.Request {
 	if !r.started {
 		return message
@@ -59,7 +60,7 @@
 	return message
 }
 
-// forwardResponse forwards a server's response. It returns nil if the client has it completely.
+// forwardResponse forwards a server's response. It returns nil if all of it was forwarded.
 func (r *relay) forwardResponse(call *call, response serverResponse) *callFailure {
 	class := classify(call.responseTraits(response))
 	switch {
@@ -93,8 +94,8 @@
 	return call.brokenFailure()
 }
 
-// forwardBody sends the client a response that is buffered completely, or what is buffered of it and then
-// the rest as it comes.
+// forwardBody sends the client a response: all of it if it is buffered completely, otherwise the buffered
+// part and then the rest as it arrives.
 func (r *relay) forwardBody(call *call, buffered *bufferedResponse, body *http1.Body) *callFailure {
 	if body.Complete() {
 		r.forwardBuffered(buffered)
@@ -102,7 +103,7 @@
 	}
 	response := r.clientHead(buffered.head)
 	response.Streaming, response.Length, response.Body = true, body.Length(), buffered.body
-	r.started, r.hasUnnumbered = true, true
+	r.started, r.hasDataWithoutID = true, true
 	r.client.recordResponse()
 	call.setReadDeadline(time.Now(), r.request.hardDeadline, r.request.hardDeadline)
 	out, err := response.Begin(r.client.socket.writer(), r.request.HTTP10)
@@ -131,13 +132,13 @@
 	}
 }
 
-// forwardBuffered sends a buffered response. It reports whether the client's connection goes on.
+// forwardBuffered sends a buffered response. It reports whether the client's connection stays open.
 func (r *relay) forwardBuffered(buffered *bufferedResponse) bool {
 	r.recordComplete(r.writeBuffered(buffered))
 	return r.keepAlive
 }
 
-// writeBuffered writes a buffered response. It reports whether the client's connection may go on.
+// writeBuffered writes a buffered response. It reports whether the client's connection can stay open.
 func (r *relay) writeBuffered(buffered *bufferedResponse) bool {
 	r.client.recordResponse()
 	response := r.clientHead(buffered.head)
@@ -147,7 +148,7 @@
 	return response.Write(out) == nil && out.Flush() == nil && !response.Close
 }
 
-// clientHead is a server's head as the client gets it.
+// clientHead returns the response head for the client, based on a server's.
 func (r *relay) clientHead(from *http1.Response) *http1.Response {
 	response := &http1.Response{Status: from.Status, Bodiless: from.Bodiless, Length: from.Length}
 	response.Header = from.Header.EndToEnd()
@@ -161,7 +162,8 @@
 	return out.Close() == nil && r.client.socket.writer().Flush() == nil
 }
 
-// recordComplete records that the response was sent to its end.
+// recordComplete records that the response was sent to its end; keepAlive says whether the client's
+// connection stays open.
 func (r *relay) recordComplete(keepAlive bool) {
 	r.started, r.complete, r.keepAlive = true, true, keepAlive
 	r.client.proxy.counters.forwarded.Add(1)
--- a/internal/router/dataplane/response_test.go
+++ b/internal/router/dataplane/response_test.go
@@ -39,7 +39,7 @@
 }
 
 func TestResponsesOfAllSizesArriveComplete(t *testing.T) {
-	for _, size := range []int{20, 4096, maxBufferedResponse, maxBufferedResponse + 1, 300_000} {
+	for _, size := range []int{20, 4096, maxBufferedBodyBytes, maxBufferedBodyBytes + 1, 300_000} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, chunked), func(t *testing.T) {
 				server := newFakeServer(t, "i-1", "lookup", "",
@@ -66,7 +66,7 @@
 				client := rig.dial()
 				client.send("POST", "/unsafe/", "a", "")
 				response, err := client.read()
-				if size <= maxBufferedResponse {
+				if size <= maxBufferedBodyBytes {
 					rig.Assert(err, qt.IsNil)
 					rig.Assert(response.Status, qt.Equals, 502)
 					return
@@ -97,7 +97,7 @@
 				rig := newRig(t, nil, server)
 				client := rig.dial()
 				client.send("POST", "/unsafe/", "a", "")
-				if size > maxBufferedResponse { // a reset would take away what the client is to see
+				if size > maxBufferedBodyBytes { // a reset would take away what the client is to see
 					_, err := client.in.Peek(1)
 					rig.Assert(err, qt.IsNil)
 				}
@@ -108,7 +108,7 @@
 					rig.Assert(err, qt.IsNil)
 					rig.Assert(response.Status, qt.Equals, 200)
 					rig.Assert(response.Body, qt.HasLen, size)
-				case size <= maxBufferedResponse:
+				case size <= maxBufferedBodyBytes:
 					rig.Assert(err, qt.IsNil)
 					rig.Assert(response.Status, qt.Equals, 502)
 				default:
--- a/internal/router/dataplane/send.go
+++ b/internal/router/dataplane/send.go
@@ -25,7 +25,7 @@
 	return c.failureFrom(err)
 }
 
-// buildRequest returns the client's request as the server gets it.
+// buildRequest returns the client's request in the form in which it is sent to the server.
 func (c *call) buildRequest() *http1.Request {
 	req := c.roundTrip.request
 	message := &http1.Request{Method: req.Method, Target: req.Target, Body: req.Body}
@@ -47,10 +47,10 @@
 	return c.roundTrip.relay.setResumePoint(message)
 }
 
-// writeRequest sends a message. A response may arrive while a large one waits for its server to read: the
-// rest must then be sent within earlyResponseTime, and the connection ends with the response.
+// writeRequest sends a message. A server may respond before it has read all of a large message; the rest must
+// then be sent within earlyResponseTimeout, and the connection is not reused if a part may be left unread.
 func (c *call) writeRequest(message *http1.Request) error {
-	large := len(message.Body) >= largeBodySize
+	large := len(message.Body) >= largeBodyBytes
 	c.conn.setUnackedTimeout(large, c.roundTrip.timeLeft())
 	if large {
 		defer c.watchEarlyResponse()()
--- a/internal/router/dataplane/socket.go
+++ b/internal/router/dataplane/socket.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// bufferSize is the size of a buffer to read or write through, in bytes.
+	// bufferSize is the size of a read or write buffer, in bytes.
 	bufferSize = 4 << 10
-	// clientTimeout is how long sent bytes may stay unacknowledged by a client's machine before the system
-	// ends the connection.
-	clientTimeout = 3 * time.Second
-	// serverTimeout is the same for a server's: a machine that is up acknowledges within milliseconds, and
-	// each request that waits for a dead one is late.
-	serverTimeout = 800 * time.Millisecond
+	// clientUnackedTimeout is how long a client's machine may leave sent bytes unacknowledged before the kernel
+	// closes the connection.
+	clientUnackedTimeout = 3 * time.Second
+	// serverUnackedTimeout is the same for a server's machine. It is shorter because a machine that is up
+	// acknowledges within milliseconds, and each request that waits for a dead one is late.
+	serverUnackedTimeout = 800 * time.Millisecond
 )
 
 var (
@@ -30,32 +30,33 @@
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 )
 
-// socket is a TCP connection that borrows buffers while it reads or writes; one that waits has none. The
-// goroutine that serves it may touch the buffers and the fields. Another one may meanwhile wait in
-// awaitReadable, set deadlines and close it. While a client's request is in flight, in does not change, and
-// the disconnectWatcher reads it. Its deadlines count only the time in which this process runs.
+// socket is a TCP connection that takes buffers from a pool while it reads or writes, and has none while it
+// waits. The goroutine that serves it may access the buffers and the fields. Another goroutine may meanwhile
+// wait in awaitReadable, set deadlines and close it. While a client's request is in flight, the field in does
+// not change, because the disconnectWatcher reads it. Deadlines count only the time in which this process
+// runs.
 type socket struct {
 	*stallclock.Conn
 	raw syscall.RawConn
-	in  *bufio.Reader // nil while none is borrowed
-	out *bufio.Writer // likewise
+	in  *bufio.Reader // nil while no buffer is in use
+	out *bufio.Writer // nil while no buffer is in use
 
-	bytesSent int64 // bytes of the present message that the system has taken
+	bytesSent int64 // bytes of the current message that the kernel has accepted
 
-	extender deadlineExtender // is asked when the read deadline has passed; may be nil
+	extender deadlineExtender // called when the read deadline has passed; may be nil
 }
 
-// deadlineExtender decides whether a read goes on after its deadline.
+// deadlineExtender decides whether a read continues after its deadline.
 type deadlineExtender interface {
-	// extendReadDeadline reports whether to read on; then it has set a later deadline.
+	// extendReadDeadline reports whether to continue reading; if so, it has set a later deadline.
 	extendReadDeadline() bool
 }
 
-// newSocket returns a socket over a TCP connection; others have no descriptor and are an error.
+// newSocket returns a socket over a TCP connection. A connection without a file descriptor is an error.
 func newSocket(conn net.Conn, clock *stallclock.Clock) (*socket, error) {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("the connection has no descriptor; give a TCP connection")
+		return nil, errors.New("connection has no file descriptor; a TCP connection is required")
 	}
 	raw, err := system.SyscallConn()
 	if err != nil {
@@ -64,14 +65,14 @@
 	return &socket{Conn: clock.Wrap(conn), raw: raw}, nil
 }
 
-// Write counts what the system takes.
+// Write writes data and counts the bytes that the kernel has accepted.
 func (s *socket) Write(data []byte) (int, error) {
 	n, err := s.Conn.Write(data)
 	s.bytesSent += int64(n)
 	return n, err
 }
 
-// Read reads, and goes on after its deadline as long as its extender sets a later one.
+// Read reads, and continues after the read deadline as long as the extender sets a later one.
 func (s *socket) Read(data []byte) (int, error) {
 	n, err := s.Conn.Read(data)
 	for err != nil && s.extender != nil && errors.Is(err, os.ErrDeadlineExceeded) &&
@@ -81,7 +82,7 @@
 	return n, err
 }
 
-// reader borrows a buffer to read through.
+// reader returns the read buffer, which it takes from the pool if the socket has none.
 func (s *socket) reader() *bufio.Reader {
 	if s.in == nil {
 		s.in = readerPool.Get().(*bufio.Reader)
@@ -90,7 +91,7 @@
 	return s.in
 }
 
-// writer borrows a buffer to write through.
+// writer returns the write buffer, which it takes from the pool if the socket has none.
 func (s *socket) writer() *bufio.Writer {
 	if s.out == nil {
 		s.out = writerPool.Get().(*bufio.Writer)
@@ -99,7 +100,8 @@
 	return s.out
 }
 
-// returnEmptyBuffers returns the buffers that are empty. No body may be in transfer through them.
+// returnEmptyBuffers returns the buffers that are empty to their pools. No body may be in transfer through
+// them.
 func (s *socket) returnEmptyBuffers() {
 	if s.in != nil && s.in.Buffered() == 0 {
 		s.returnReader()
@@ -109,7 +111,7 @@
 	}
 }
 
-// returnBuffers returns the buffers, whatever they contain, of a connection that is over.
+// returnBuffers returns the buffers of a closed connection to their pools, even if they are not empty.
 func (s *socket) returnBuffers() {
 	if s.in != nil {
 		s.returnReader()
@@ -131,16 +133,19 @@
 	s.out = nil
 }
 
-// hasBufferedInput reports whether bytes were read that nobody has taken yet.
+// hasBufferedInput reports whether the read buffer holds bytes that have not been consumed yet.
 func (s *socket) hasBufferedInput() bool { return s.in != nil && s.in.Buffered() > 0 }
 
-// controlServer sets the options of a socket to a server before it connects.
-func controlServer(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, serverTimeout) }
+// setServerSocketOptions sets the options of a socket to a server before it connects, as net.Dialer.Control.
+func setServerSocketOptions(_, _ string, raw syscall.RawConn) error {
+	return setUserTimeout(raw, serverUnackedTimeout)
+}
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged.
+// setUserTimeout sets TCP_USER_TIMEOUT, which limits how long sent bytes may stay unacknowledged.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	return raw.Control(func(fd uintptr) {
-		// Without the option a connection across a partition hangs for minutes, but it works: errors are ignored.
+		// Errors are ignored: without the option a connection still works, but during a network partition it
+		// hangs for minutes.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 }
--- a/internal/router/dataplane/stalls_test.go
+++ b/internal/router/dataplane/stalls_test.go
@@ -100,9 +100,9 @@
 		rig.Assert(err, qt.IsNil)
 		call := &call{roundTrip: newRoundTrip(&client{proxy: rig.proxy, socket: socket}, req),
 			conn: &connection{socket: socket}, choice: &scheduler.Call{Server: &catalog.Server{ID: "i-1"}},
-			started: now.Add(-2 * time.Second)}
+			sendStarted: now.Add(-2 * time.Second)}
 		rig.proxy.clock.Inject(now, 1900*time.Millisecond)
-		call.setReadDeadline(call.started, now.Add(-time.Second), req.deadline)
+		call.setReadDeadline(call.sendStarted, now.Add(-time.Second), req.deadline)
 		if arrived {
 			io.WriteString(far, response)
 		} else {
--- a/internal/router/dataplane/stream.go
+++ b/internal/router/dataplane/stream.go
@@ -14,10 +14,11 @@
 // eventStreamType is the Content-Type of a stream of events.
 const eventStreamType = "text/event-stream"
 
-// streamBuffers have the *[bufferSize]byte that the parts of a stream are read into.
+// streamBuffers holds the *[bufferSize]byte buffers into which streams are read.
 var streamBuffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// isStream reports whether a response is a stream of events.
+// isStream reports whether a response is a stream of events. Without a Content-Type, a response with a
+// Transfer-Encoding counts as one on a route for streams.
 func (r *relay) isStream(head *http1.Response) bool {
 	kind, _, _ := strings.Cut(head.Header.Get("Content-Type"), ";")
 	if kind == "" {
@@ -26,8 +27,8 @@
 	return strings.EqualFold(strings.TrimSpace(kind), eventStreamType)
 }
 
-// forwardStream forwards events as they arrive, each one complete. If it ends early the events that the
-// client has are the first ones of the stream, without a gap.
+// forwardStream forwards events as they arrive, only complete ones. If the stream ends early, the client has
+// its first events without a gap.
 func (r *relay) forwardStream(call *call, response serverResponse) *callFailure {
 	r.beginStream(call)
 	body := response.body
@@ -44,7 +45,7 @@
 		}
 		eventTooLarge := len(r.events.partial()) > maxEventBytes
 		if err == nil && body.Buffered() && !eventTooLarge {
-			continue // flush once for all that has arrived
+			continue // one flush for everything that has arrived
 		}
 		if r.flush() != nil {
 			return r.clientFailure(call)
@@ -59,7 +60,7 @@
 	}
 }
 
-// beginStream prepares for the events of another server.
+// beginStream prepares for the events of a server, which resumes the stream if a part of it was forwarded.
 func (r *relay) beginStream(call *call) {
 	r.events.reset()
 	if r.started {
@@ -79,7 +80,8 @@
 	return nil
 }
 
-// forwardEvent writes an event, unless the client has it already. It fails if events before it are missing.
+// forwardEvent writes an event unless the client has it already. The call fails if events before it are
+// missing.
 func (r *relay) forwardEvent(call *call, head *http1.Response, event []byte) *callFailure {
 	switch r.decide(event) {
 	case actionSkip:
@@ -97,17 +99,17 @@
 	return nil
 }
 
-// decide returns what is done with an event; one without an id is forwarded.
+// decide returns how an event is handled. An event without an id is forwarded.
 func (r *relay) decide(event []byte) eventAction {
 	id, ok := eventID(event)
 	if !ok {
-		r.hasUnnumbered = r.hasUnnumbered || hasData(event)
+		r.hasDataWithoutID = r.hasDataWithoutID || hasData(event)
 		return actionForward
 	}
 	return r.order.decide(id)
 }
 
-// checkIDsRise checks that the events of a server that resumed the stream follow those that the client has.
+// checkIDsRise asserts that after a resumption the ids of forwarded events keep increasing.
 func (r *relay) checkIDsRise(event []byte) {
 	id, ok := eventID(event)
 	if !ok {
@@ -118,12 +120,12 @@
 	r.lastForwarded = id
 }
 
-// startResponse sends the head with the first event of the first server.
+// startResponse writes the head of the response, before the first event, unless that was done already.
 func (r *relay) startResponse(call *call, head *http1.Response) error {
 	if r.started {
 		return nil
 	}
-	call.timeToFirstEvent = time.Since(call.started)
+	call.timeToFirstEvent = time.Since(call.sendStarted)
 	call.roundTrip.proxy.chooser.firstEvent(call.choice)
 	r.replaceable = call.roundTrip.couldRetry()
 	response := r.clientHead(head)
@@ -136,11 +138,11 @@
 	return err
 }
 
-// endStream ends the response, as its server did.
+// endStream ends the response after the server has ended its own.
 func (r *relay) endStream(call *call, response serverResponse) *callFailure {
 	call.recordBodyEnd()
 	if partial := r.events.partial(); len(partial) > 0 {
-		if response.endsWithConnection() { // an incomplete event shows that its server broke off
+		if response.endsWithConnection() { // an incomplete event shows that the server broke off the stream
 			return call.brokenFailure()
 		}
 		if failure := r.forwardEvent(call, response.head, partial); failure != nil {
@@ -162,7 +164,7 @@
 	return r.client.socket.writer().Flush()
 }
 
-// clientFailure says that the client did not read the response.
+// clientFailure stops the round trip because writing to the client failed, and returns the call's failure.
 func (r *relay) clientFailure(call *call) *callFailure {
 	call.roundTrip.stop(clientDisconnected)
 	return &callFailure{outcome: scheduler.Abandoned, execution: mayHaveRun}
--- a/internal/router/dataplane/stream_test.go
+++ b/internal/router/dataplane/stream_test.go
@@ -286,13 +286,13 @@
 	now := time.Now()
 	req := &request{hardDeadline: now.Add(time.Minute), route: &fleetconfig.Route{Kind: fleetconfig.Stream}}
 	call := &call{roundTrip: &roundTrip{request: req}}
-	r := &relay{request: req, started: true, replaceable: true, order: eventOrder{hasLast: true}}
+	r := &relay{request: req, started: true, replaceable: true, order: eventOrder{lastIDKnown: true}}
 	c.Assert(r.gapDeadline(call), qt.Equals, req.hardDeadline)
 	req.route.Resumable = true
 	c.Assert(r.gapDeadline(call).Before(req.hardDeadline), qt.IsTrue)
-	r.hasUnnumbered = true
+	r.hasDataWithoutID = true
 	c.Assert(r.gapDeadline(call), qt.Equals, req.hardDeadline)
-	r.hasUnnumbered, r.order.hasLast = false, false
+	r.hasDataWithoutID, r.order.lastIDKnown = false, false
 	c.Assert(r.gapDeadline(call), qt.Equals, req.hardDeadline)
 }
 
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -162,11 +162,11 @@
 	conn, err := pool.get(context.Background(), w)
 	c.Assert(err, qt.IsNil)
 	defer pool.discard(conn)
-	c.Assert(userTimeout(c, conn), qt.Equals, serverTimeout)
-	conn.setUnackedTimeout(true, 20*serverTimeout)
-	c.Assert(userTimeout(c, conn), qt.Equals, 20*serverTimeout+unackedMargin)
-	conn.setUnackedTimeout(false, 20*serverTimeout)
-	c.Assert(userTimeout(c, conn), qt.Equals, serverTimeout)
+	c.Assert(userTimeout(c, conn), qt.Equals, serverUnackedTimeout)
+	conn.setUnackedTimeout(true, 20*serverUnackedTimeout)
+	c.Assert(userTimeout(c, conn), qt.Equals, 20*serverUnackedTimeout+unackedMargin)
+	conn.setUnackedTimeout(false, 20*serverUnackedTimeout)
+	c.Assert(userTimeout(c, conn), qt.Equals, serverUnackedTimeout)
 }
 
 func userTimeout(c *qt.C, conn *connection) (timeout time.Duration) {
