--- a/internal/router/dataplane/classify_test.go
+++ b/internal/router/dataplane/classify_test.go
@@ -6,28 +6,31 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestClassifyTellsWhatAResponseAllows(t *testing.T) {
+func TestClassifyResponse(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		responseTraits
 		want responseClass
 	}{
-		{"a success", responseTraits{status: 200, stamped: true}, classForward},
+		{"a success with a stamp", responseTraits{status: 200, stamped: true}, classForward},
 		{"a success without a stamp", responseTraits{status: 200}, classUnusable},
-		{"a success that is encoded", responseTraits{status: 200, stamped: true, encoded: true}, classUnusable},
-		{"an end of unknown kind", responseTraits{status: 200, stamped: true, endUncertain: true}, classUnusable},
+		{"a success with a content coding", responseTraits{status: 200, stamped: true, encoded: true},
+			classUnusable},
+		{"a success with an uncertain end", responseTraits{status: 200, stamped: true, endUncertain: true},
+			classUnusable},
 		{"full", responseTraits{status: 503, notRun: true}, classRejected},
-		{"too many", responseTraits{status: 429, notRun: true}, classRejected},
+		{"too many requests", responseTraits{status: 429, notRun: true}, classRejected},
 		{"late", responseTraits{status: 504, notRun: true}, classRejected},
 		{"another incarnation", responseTraits{status: 421}, classMisdirected},
-		{"another incarnation that says so", responseTraits{status: 421, notRun: true}, classMisdirected},
+		{"another incarnation, with Cresshub-Not-Run", responseTraits{status: 421, notRun: true},
+			classMisdirected},
 		{"a bad request", responseTraits{status: 400, notRun: true}, classForward},
-		{"503 without a promise", responseTraits{status: 503}, classUnusable},
-		{"429 without a promise", responseTraits{status: 429}, classUnusable},
-		{"408 without a promise", responseTraits{status: 408}, classUnusable},
-		{"its own failure", responseTraits{status: 500}, classServerError},
-		{"its own deadline", responseTraits{status: 504}, classServerError},
-		{"a failure that is encoded", responseTraits{status: 500, encoded: true}, classUnusable},
+		{"503 without Cresshub-Not-Run", responseTraits{status: 503}, classUnusable},
+		{"429 without Cresshub-Not-Run", responseTraits{status: 429}, classUnusable},
+		{"408 without Cresshub-Not-Run", responseTraits{status: 408}, classUnusable},
+		{"the server's own failure", responseTraits{status: 500}, classServerError},
+		{"the server's own timeout", responseTraits{status: 504}, classServerError},
+		{"a failure with a content coding", responseTraits{status: 500, encoded: true}, classUnusable},
 		{"not found", responseTraits{status: 404}, classForward},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -36,14 +39,14 @@
 	}
 }
 
-func TestWhatMayFollow(t *testing.T) {
+func TestRetrySafetyAndFinalStatus(t *testing.T) {
 	for _, test := range []struct {
-		name           string
-		idempotent     bool
-		worst          execution
-		retryIsSafe    bool
-		status         int
-		statusPastTime int
+		name                string
+		idempotent          bool
+		worst               execution
+		retryIsSafe         bool
+		status              int
+		statusAfterDeadline int
 	}{
 		{"idempotent, not sent", true, notSent, true, 503, 503},
 		{"idempotent, not run", true, notRun, true, 503, 503},
@@ -56,7 +59,7 @@
 			c := qt.New(t)
 			c.Assert(retryIsSafe(test.idempotent, test.worst), qt.Equals, test.retryIsSafe)
 			c.Assert(finalStatus(test.worst, false), qt.Equals, test.status)
-			c.Assert(finalStatus(test.worst, true), qt.Equals, test.statusPastTime)
+			c.Assert(finalStatus(test.worst, true), qt.Equals, test.statusAfterDeadline)
 		})
 	}
 }
--- a/internal/router/dataplane/deadlines_test.go
+++ b/internal/router/dataplane/deadlines_test.go
@@ -119,7 +119,7 @@
 					return got.status
 				})
 				if name == "an event" && got.status == 200 {
-					rig.Assert(got.cut, qt.IsTrue)
+					rig.Assert(got.truncated, qt.IsTrue)
 				} else {
 					rig.Assert(got.status, qt.Equals, 504)
 				}
--- a/internal/router/dataplane/descriptors_test.go
+++ b/internal/router/dataplane/descriptors_test.go
@@ -8,9 +8,9 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// TestClientsAndServersLeaveDescriptors: however many connections clients and servers take, other processes,
-// heartbeats and operators get through.
-func TestClientsAndServersLeaveDescriptors(t *testing.T) {
+// TestConnectionLimitsLeaveDescriptors checks that the connection limits leave enough file descriptors for
+// other processes, heartbeats and operators when clients and servers use all of their connections.
+func TestConnectionLimitsLeaveDescriptors(t *testing.T) {
 	for _, descriptors := range []int{600, 1024, 4100, 65536} {
 		proxy := &Proxy{settings: &agentsettings.Settings{Descriptors: descriptors}}
 		left := descriptors - reservedDescriptors - 2*proxy.connectionLimit()
--- a/internal/router/dataplane/events_test.go
+++ b/internal/router/dataplane/events_test.go
@@ -34,7 +34,7 @@
 		{"an id first", "id: 12\ndata: x\n\n", 12, true},
 		{"an id second, without a space", "versions: 2\nid:7\r\ndata: x\r\n\r\n", 7, true},
 		{"an id within the data", "data: id: 3\n\n", 0, false},
-		{"an id that is no number", "id: x\n\n", 0, false},
+		{"an id that is not a number", "id: x\n\n", 0, false},
 		{"a comment", ": comment\n\n", 0, false},
 		{"nothing", "", 0, false},
 	} {
@@ -44,25 +44,25 @@
 	}
 }
 
-func TestResumedStreamSkipsWhatWasForwarded(t *testing.T) {
+func TestEventOrderAfterResumption(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		dense   bool
-		first   []int64       // ids of the first server
-		resumed []int64       // of the next one
-		want    []eventAction // for each of the latter
+		name        string
+		consecutive bool
+		first       []int64       // ids that the first server sends
+		resumed     []int64       // ids that the next server sends
+		want        []eventAction // for each event of the next server
 	}{
 		{"resumed at the next event", true, []int64{1, 2}, []int64{3, 4},
 			[]eventAction{actionForward, actionForward}},
-		{"begun again", true, []int64{1, 2}, []int64{1, 2, 3},
+		{"restarted from the first event", true, []int64{1, 2}, []int64{1, 2, 3},
 			[]eventAction{actionSkip, actionSkip, actionForward}},
 		{"an event is missing", true, []int64{1, 2}, []int64{4}, []eventAction{actionGap}},
-		{"ids may skip", false, []int64{1, 2}, []int64{4}, []eventAction{actionForward}},
-		{"ids have skipped", true, []int64{1, 4}, []int64{9}, []eventAction{actionForward}},
+		{"the service's ids may have gaps", false, []int64{1, 2}, []int64{4}, []eventAction{actionForward}},
+		{"earlier ids had a gap", true, []int64{1, 4}, []int64{9}, []eventAction{actionForward}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			o := eventOrder{consecutive: test.dense}
+			o := eventOrder{consecutive: test.consecutive}
 			for _, id := range test.first {
 				c.Assert(o.decide(id), qt.Equals, actionForward)
 			}
--- a/internal/router/dataplane/fakeserver_test.go
+++ b/internal/router/dataplane/fakeserver_test.go
@@ -24,11 +24,11 @@
 	received []*http1.Request // in the order of their arrival
 }
 
-// handler responds to one request by what it writes to the connection, which is w. The connection is closed
-// where it returns false. It runs on the goroutine of its connection.
+// handler responds to one request by writing to w, which is the connection. It returns false to have the
+// connection closed. It runs on the connection's goroutine.
 type handler func(req *http1.Request, w io.Writer) bool
 
-// newFakeServer starts a server of a service, ready and with eight slots, until the test ends.
+// newFakeServer starts a server of a service that is ready and has eight slots. It runs until the test ends.
 func newFakeServer(tb testing.TB, id, service string, role catalog.Role, handle handler) *fakeServer {
 	tb.Helper()
 	server := &fakeServer{Server: &catalog.Server{ID: id, Service: service, Slots: 8, State: catalog.Ready,
@@ -57,7 +57,7 @@
 	tb.Cleanup(func() { conns.Close(false) })
 }
 
-// serve records and handles the requests of one connection until the handler or the other side ends it.
+// serve records and handles the requests of one connection until the handler or the peer ends it.
 func (s *fakeServer) serve(conn net.Conn, handle handler) {
 	in := bufio.NewReader(conn)
 	for {
@@ -77,14 +77,14 @@
 	}
 }
 
-// got returns the requests that have arrived completely so far.
+// got returns the requests that the server has received completely so far.
 func (s *fakeServer) got() []*http1.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*http1.Request(nil), s.received...)
 }
 
-// respondOK responds with status 200, a server stamp and that body.
+// respondOK responds with status 200, a server stamp and the given body.
 func respondOK(body string) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, responseHead(req, 200, "Cresshub-Server-Stamp: s1"), contentLength(body), body)
@@ -93,21 +93,22 @@
 }
 
 // longKeepAlive announces that a connection stays open for longer than any wait of a test. Without it, a
-// connection is not used any more that has been idle for defaultIdleTime. Where an unsafe request comes next
-// maxIdleTimeUnsafe bounds it all the same.
+// connection is not reused after it has been idle for defaultIdleTime. Before an unsafe request the limit
+// maxIdleTimeUnsafe still applies.
 const longKeepAlive = "Keep-Alive: timeout=60"
 
-// keepingAlive responds as handle does, which must not wait for the other side, and announces longKeepAlive.
+// keepingAlive responds like handle and adds longKeepAlive to the response. handle must not wait for its
+// peer.
 func keepingAlive(handle handler) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		var text strings.Builder
-		goesOn := handle(req, &text)
+		keepOpen := handle(req, &text)
 		io.WriteString(w, strings.Replace(text.String(), "\r\n", "\r\n"+longKeepAlive+"\r\n", 1))
-		return goesOn
+		return keepOpen
 	}
 }
 
-// responseHead returns the status line and the fields of a response to req, without the blank line.
+// responseHead returns the status line and the header fields of a response to req, without the blank line.
 func responseHead(req *http1.Request, status int, fields ...string) string {
 	lines := fmt.Sprintf("HTTP/1.1 %d X\r\nCresshub-Try-Id: %s\r\n", status, req.Header.Get(tryIDHeader))
 	for _, f := range fields {
@@ -116,10 +117,10 @@
 	return lines
 }
 
-// contentLength returns the field that frames a body, and the blank line that ends the head.
+// contentLength returns the Content-Length field for a body, and the blank line that ends the head.
 func contentLength(body string) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) }
 
-// respondStatus responds with a status, fields and an empty body.
+// respondStatus responds with a status, header fields and an empty body.
 func respondStatus(code int, fields ...string) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, responseHead(req, code, fields...), contentLength(""))
@@ -127,7 +128,7 @@
 	}
 }
 
-// newLookupServers returns servers of the service lookup that share a handler.
+// newLookupServers starts four servers of the service lookup that share a handler.
 func newLookupServers(tb testing.TB, handle handler) []*fakeServer {
 	tb.Helper()
 	var servers []*fakeServer
@@ -145,13 +146,13 @@
 	return all
 }
 
-// requestsReceived is how many requests arrived at all of them.
+// requestsReceived returns how many requests arrived at all of the servers together.
 func requestsReceived(servers []*fakeServer) int { return len(allReceived(servers)) }
 
 // closeUnanswered closes the connection without a response.
 func closeUnanswered(*http1.Request, io.Writer) bool { return false }
 
-// writeRaw writes text as it is, whatever the request was.
+// writeRaw writes text unchanged, whatever the request is.
 func writeRaw(text string) handler {
 	return func(_ *http1.Request, w io.Writer) bool {
 		io.WriteString(w, text)
@@ -159,8 +160,8 @@
 	}
 }
 
-// neverAnswer sends nothing and waits until the other side ends the connection. It then sends the ID of the
-// request's attempt on ended.
+// neverAnswer sends no response and waits until the peer ends the connection. It then sends the request's
+// Cresshub-Try-Id on the channel ended.
 func neverAnswer(ended chan<- string) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		io.Copy(io.Discard, w.(net.Conn))
@@ -169,7 +170,8 @@
 	}
 }
 
-// inTurn handles each request by the next handler, and all further ones by the last.
+// inTurn handles the first request with the first handler, the second one with the second handler and so on,
+// and all further requests with the last handler.
 func inTurn(handlers ...handler) handler {
 	var mu sync.Mutex
 	return func(req *http1.Request, w io.Writer) bool {
@@ -183,26 +185,25 @@
 	}
 }
 
-// streamEvents responds with a stream of the events from..to. It ends the stream where whole is true, and
-// breaks it off otherwise.
-func streamEvents(from, to int, whole bool) handler {
+// streamEvents responds with a stream of the events from..to. It truncates the stream if complete is false.
+func streamEvents(from, to int, complete bool) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, responseHead(req, 200, "Cresshub-Server-Stamp: s"+fmt.Sprint(from),
 			"Content-Type: text/event-stream", "Transfer-Encoding: chunked"), "\r\n")
 		for id := from; id <= to; id++ {
 			io.WriteString(w, chunk(eventText(id)))
 		}
-		if whole {
+		if complete {
 			io.WriteString(w, "0\r\n\r\n")
 		}
-		return whole
+		return complete
 	}
 }
 
-// eventText returns the event with an ID as it stands in a stream.
+// eventText returns the encoded event with an id.
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// eventsText returns the events from..to as they stand in a stream.
+// eventsText returns the encoded events from..to.
 func eventsText(from, to int) string {
 	var all strings.Builder
 	for id := from; id <= to; id++ {
@@ -211,5 +212,5 @@
 	return all.String()
 }
 
-// chunk returns text as one chunk of the chunked transfer coding.
+// chunk encodes text as one chunk of the chunked transfer coding.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
--- a/internal/router/dataplane/faults_test.go
+++ b/internal/router/dataplane/faults_test.go
@@ -21,19 +21,19 @@
 const (
 	closes fault = "closes"
 	resets fault = "resets"
-	stalls fault = "falls silent"
+	stalls fault = "stops sending"
 )
 
-// framing is how a response says where it ends.
+// framing is how a response indicates its end.
 type framing string
 
 const (
-	byLength framing = "by length"
-	byChunks framing = "by chunks"
-	byEnd    framing = "by the end of the connection"
+	byLength        framing = "by length"
+	byChunks        framing = "by chunks"
+	byConnectionEnd framing = "by the end of the connection"
 )
 
-// encode returns the response to req with that body, and the length of its head.
+// encode returns the response to req whose body consists of parts, and the length of its head.
 func (f framing) encode(req *http1.Request, kind string, parts ...string) (text string, headLength int) {
 	fields := []string{stamp, "Content-Type: " + kind}
 	body := strings.Join(parts, "")
@@ -48,25 +48,25 @@
 		}
 		body += "0\r\n\r\n"
 	}
-	top := responseHead(req, 200, fields...) + "\r\n"
-	return top + body, len(top)
+	head := responseHead(req, 200, fields...) + "\r\n"
+	return head + body, len(head)
 }
 
-// faultyAttempt is one attempt of a client, and what its first server does with it.
+// faultyAttempt is one attempt of a client, and the fault of the first server that receives it.
 type faultyAttempt struct {
 	id, route string
 	framing   framing
 	fault     fault
 	point     int // bytes of the response before the fault
 
-	arrivals int
+	received int // how many times servers have received it so far
 }
 
-func (a *faultyAttempt) streams() bool { return a.route == "stream" || a.route == "firm" }
+func (a *faultyAttempt) isStream() bool { return a.route == "stream" || a.route == "firm" }
 
-// answer encodes the complete response to a request of the attempt.
-func (a *faultyAttempt) answer(req *http1.Request) (text string, headLength int) {
-	if !a.streams() {
+// encodeResponse returns the complete response to a request of the attempt, and the length of its head.
+func (a *faultyAttempt) encodeResponse(req *http1.Request) (text string, headLength int) {
+	if !a.isStream() {
 		return a.framing.encode(req, "text/plain", "body ", "of "+a.id)
 	}
 	var events []string
@@ -76,21 +76,22 @@
 	return a.framing.encode(req, eventStreamType, events...)
 }
 
-// body is what the client has to get.
+// body returns the response body that the client should receive.
 func (a *faultyAttempt) body() string {
-	if !a.streams() {
+	if !a.isStream() {
 		return "body of " + a.id
 	}
 	return eventWith(a.id, 1) + eventWith(a.id, 2) + eventWith(a.id, 3)
 }
 
-// faultyServers break off the first response of each attempt that is registered, and complete all others.
+// faultyServers are servers that truncate the first response to each registered attempt, and complete all
+// others.
 type faultyServers struct {
 	mu       sync.Mutex
 	attempts map[string]*faultyAttempt
 }
 
-// register has the servers break off the first response of an attempt of a kind at a point.
+// register adds an attempt like kind, whose first response the servers truncate after point bytes.
 func (s *faultyServers) register(kind faultyAttempt, id string, point int) *faultyAttempt {
 	attempt := &kind
 	attempt.id, attempt.point = id, point
@@ -105,101 +106,102 @@
 	s.mu.Lock()
 	attempt := s.attempts[id]
 	if attempt != nil {
-		attempt.arrivals++
+		attempt.received++
 	}
-	first := attempt != nil && attempt.arrivals == 1
+	first := attempt != nil && attempt.received == 1
 	s.mu.Unlock()
 	if attempt == nil {
 		return respondOK("body of "+id)(req, w)
 	}
-	text, _ := attempt.answer(req)
+	text, _ := attempt.encodeResponse(req)
 	if !first {
 		io.WriteString(w, text)
-		return attempt.framing != byEnd
+		return attempt.framing != byConnectionEnd
 	}
 	io.WriteString(w, text[:attempt.point])
 	switch attempt.fault {
 	case resets:
 		w.(*net.TCPConn).SetLinger(0)
 	case stalls:
-		io.Copy(io.Discard, w.(net.Conn)) // until the proxy has given up
+		io.Copy(io.Discard, w.(net.Conn)) // until the proxy closes the connection
 		io.WriteString(w, text[attempt.point:])
 	}
 	return false
 }
 
-// stallsWithin reports whether the server falls silent before the end of its response. Its request has a
-// short deadline; one with a complete response has none, and may take its time on a busy machine.
-func (a *faultyAttempt) stallsWithin() bool {
-	complete := a.point == len(a.text()) && a.framing != byEnd
+// stallsMidResponse reports whether the server stops sending before the end of its response. Such a request
+// gets a short deadline; one whose response is complete gets none, so that a busy machine can't make it fail.
+func (a *faultyAttempt) stallsMidResponse() bool {
+	complete := a.point == len(a.text()) && a.framing != byConnectionEnd
 	return a.fault == stalls && !complete
 }
 
-// isComplete reports whether the response, as it was broken off, cannot be distinguished from a complete
-// one.
+// isComplete reports whether the truncated response cannot be distinguished from a complete one.
 func (a *faultyAttempt) isComplete(text string, headLength int) bool {
-	if a.framing != byEnd {
+	if a.framing != byConnectionEnd {
 		return a.point == len(text)
 	}
 	betweenEvents := a.point == headLength || strings.HasSuffix(text[:a.point], "\n\n")
-	return a.fault == closes && a.point >= headLength && (!a.streams() || betweenEvents)
+	return a.fault == closes && a.point >= headLength && (!a.isStream() || betweenEvents)
 }
 
-// judge returns what is wrong with what the client of the attempt got, "" where all is well.
-func (a *faultyAttempt) judge(got clientResult, text string, headLength int) string {
+// problemWith describes what is wrong with the result that the client of the attempt got, "" for nothing.
+func (a *faultyAttempt) problemWith(got clientResult, text string, headLength int) string {
 	once := a.route == "unsafe" || a.route == "firm"
 	switch {
-	case once && a.arrivals > 1:
-		return "it ran twice"
-	case a.arrivals == 0 && got.status == 503:
+	case once && a.received > 1:
+		return "the request ran twice"
+	case a.received == 0 && got.status == 503:
 		return "" // no time was left to send it
-	case a.arrivals > 0 && got.status == 503:
-		return "it was rejected though it may have run"
+	case a.received > 0 && got.status == 503:
+		return "the request was rejected although it may have run"
 	case a.isComplete(text, headLength):
-		if got.cut || got.status != 200 || !strings.HasPrefix(a.body(), got.body) || a.arrivals != 1 {
+		if got.truncated || got.status != 200 || !strings.HasPrefix(a.body(), got.body) || a.received != 1 {
 			return "the complete response did not arrive"
 		}
 		if a.point == len(text) && got.body != a.body() {
-			return "a part of the response came"
+			return "only a part of the response arrived"
 		}
 	case !once && a.fault != stalls:
-		if got != (clientResult{200, a.body(), false}) || a.arrivals != 2 {
-			return "another server did not respond in its place"
+		if got != (clientResult{200, a.body(), false}) || a.received != 2 {
+			return "no other server responded in place of the faulty one"
 		}
-	case got.status == 200 && !(a.streams() && got.cut && strings.HasPrefix(a.body(), got.body)):
-		return "a part of the response looks complete"
-	case got.status != 200 && (got.cut || got.status != 502 && got.status != 504):
-		return "the response is none of the possible ones"
+	case got.status == 200 && !(a.isStream() && got.truncated && strings.HasPrefix(a.body(), got.body)):
+		return "the truncated response looks complete"
+	case got.status != 200 && (got.truncated || got.status != 502 && got.status != 504):
+		return "the response is none of the permitted ones"
 	}
 	return ""
 }
 
-// A server that closes, resets or stalls after any number of bytes of its response, however the response is
-// framed: a part is not taken for the whole, what may run once is not sent twice, what is idempotent is
-// answered by another server, and the next request on the client's connection gets its own response.
+// A server closes or resets the connection, or stalls, after any number of bytes of its response, for each
+// framing. A truncated response must not be taken for a complete one, a request that must not run twice must
+// not be sent again, an idempotent one must be answered by another server, and the next request on the
+// client's connection must get its own response.
 func TestFaultAtEveryByteOfAResponse(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
-		for _, framing := range []framing{byLength, byChunks, byEnd} {
+		for _, framing := range []framing{byLength, byChunks, byConnectionEnd} {
 			for _, fault := range []fault{closes, resets, stalls} {
 				t.Run(fmt.Sprintf("%s ends %s and its server %s", route, framing, fault), func(t *testing.T) {
 					t.Parallel()
-					faultAtEveryByte(t, faultyAttempt{route: route, framing: framing, fault: fault})
+					faultAtEveryResponseByte(t, faultyAttempt{route: route, framing: framing, fault: fault})
 				})
 			}
 		}
 	}
 }
 
-// faultClients is how many clients send requests at a time.
+// faultClients is how many clients send requests concurrently.
 const faultClients = 8
 
-// faultAtEveryByte makes an attempt of a kind for each number of bytes of its response.
-func faultAtEveryByte(t *testing.T, kind faultyAttempt) {
+// faultAtEveryResponseByte makes one attempt like kind for each number of bytes of the response before the
+// fault.
+func faultAtEveryResponseByte(t *testing.T, kind faultyAttempt) {
 	t.Helper()
 	servers := &faultyServers{attempts: map[string]*faultyAttempt{}}
 	rig := newRig(t, withRetrySlack(1e6), newLookupServers(t, servers.serve)...)
-	// A server that is silent behind a complete response does not answer the next request on its connection: it
-	// times out, after twice this, and goes to another server.
+	// A server that stalls after a complete response does not answer the next request on the connection. That
+	// request times out after twice this latency target and is sent to another server.
 	rig.route("safe").LatencyTarget = testTimeout / 8
 	points := make(chan int)
 	var wg sync.WaitGroup
@@ -212,7 +214,7 @@
 		})
 	}
 	kind.id = "000"
-	text, _ := kind.answer(requestOf(kind.id))
+	text, _ := kind.encodeResponse(requestOf(kind.id))
 	for point := range len(text) + 1 {
 		points <- point
 	}
@@ -221,16 +223,17 @@
 	rig.awaitCallsEnded()
 }
 
-// requestOf returns a request of an attempt.
+// requestOf returns a request with the id of an attempt.
 func requestOf(id string) *http1.Request {
 	return &http1.Request{Header: http1.Header{{Name: tryIDHeader, Value: id}}}
 }
 
-// stallTime is the deadline of a request whose server falls silent.
-const stallTime = 60 * time.Millisecond
+// stallDeadline is the deadline of a request whose server stops sending.
+const stallDeadline = 60 * time.Millisecond
 
-// attemptWithFault makes one attempt that breaks off at a point, and a request behind it. A client whose
-// response came too late makes another attempt.
+// attemptWithFault makes one attempt with the fault after point bytes, and then sends another request, on the
+// same connection if that is still open. It makes the attempt again if the result arrived too late to prove
+// anything.
 func (c *testClient) attemptWithFault(rig *testRig, servers *faultyServers, kind faultyAttempt, point int) {
 	const maxAttempts = 10
 	var attempt *faultyAttempt
@@ -238,45 +241,45 @@
 	for number, tooLate := 0, true; tooLate && number < maxAttempts; number++ {
 		attempt = servers.register(kind, fmt.Sprintf("%x%02x", number, point), point)
 		deadline := ""
-		if attempt.stallsWithin() {
-			deadline = fmt.Sprint(stallTime.Milliseconds())
+		if attempt.stallsMidResponse() {
+			deadline = fmt.Sprint(stallDeadline.Milliseconds())
 		}
 		c.reconnect(rig)
 		began := time.Now()
 		got = c.postAndRead(attempt.route, attempt.id, deadline)
-		tooLate = deadline != "" && got.cameTooLate(stallTime, began)
+		tooLate = deadline != "" && got.cameTooLate(stallDeadline, began)
 	}
-	text, headLength := attempt.answer(requestOf(attempt.id))
+	text, headLength := attempt.encodeResponse(requestOf(attempt.id))
 	servers.mu.Lock()
-	wrong := attempt.judge(got, text, headLength)
+	problem := attempt.problemWith(got, text, headLength)
 	servers.mu.Unlock()
-	if wrong != "" {
-		rig.Errorf("broken off after %d of %d bytes: %s: %+v with %d calls", point, len(text), wrong, got,
-			attempt.arrivals)
+	if problem != "" {
+		rig.Errorf("fault after %d of %d bytes: %s: %+v with %d calls", point, len(text), problem, got,
+			attempt.received)
 	}
 	c.reconnect(rig)
 	next := "n" + attempt.id
 	if got := c.postAndRead("safe", next, ""); got != (clientResult{200, "body of " + next, false}) {
-		rig.Errorf("behind a break after %d bytes: %+v", point, got)
+		rig.Errorf("request after a fault after %d bytes: %+v", point, got)
 	}
 }
 
-// cameTooLate reports whether a client got nothing after the time in which it had to read the response: this
-// process was not scheduled meanwhile.
+// cameTooLate reports whether a client got no response until after the proxy's write deadline. This process
+// was then not scheduled in time, and the result proves nothing.
 func (r clientResult) cameTooLate(deadline time.Duration, began time.Time) bool {
 	return r.status == 0 && time.Since(began) > deadline-minMargin+writeGrace
 }
 
-// reconnect connects where the client has no connection that is still good.
+// reconnect opens a connection if the client has none, and renews the connection's deadline.
 func (c *testClient) reconnect(rig *testRig) {
 	if c.Conn == nil && !c.connect(rig.address) {
-		rig.Error("nobody listens")
+		rig.Error("the proxy does not accept connections")
 		return
 	}
 	c.SetDeadline(time.Now().Add(testTimeout))
 }
 
-// postAndRead posts a request and reads its response; a connection that ends with it is closed.
+// postAndRead sends a POST request and reads its response. It closes the connection if it can't be reused.
 func (c *testClient) postAndRead(route, id, deadline string) clientResult {
 	var fields string
 	if deadline != "" {
@@ -285,7 +288,7 @@
 	fmt.Fprintf(c, "POST /%s/ HTTP/1.1\r\nHost: h\r\nCresshub-Try-Id: %s\r\n%s%s", route, id, fields,
 		contentLength(""))
 	response, err := c.read()
-	got := clientResult{cut: err != nil}
+	got := clientResult{truncated: err != nil}
 	if response != nil {
 		got.status, got.body = response.Status, string(response.Body)
 		if got.status != 200 {
@@ -299,12 +302,13 @@
 	return got
 }
 
-// A reset that arrives while the request is being sent is reported once, by the write; what is read after
-// it ends as if in order. So a response that only the end of its connection ends does not count then.
-func TestEndAfterABrokenSendIsNotTrusted(t *testing.T) {
+// The kernel reports a reset that arrives while the request is being sent only once, to the write; later
+// reads then end as if the server had closed the connection in order. So after a failed send, a response that
+// is delimited only by the end of the connection must not be trusted.
+func TestConnectionEndAfterFailedSendIsNotTrusted(t *testing.T) {
 	c := qt.New(t)
 	req := requestOf("a")
-	text, _ := byEnd.encode(req, "text/plain", "body")
+	text, _ := byConnectionEnd.encode(req, "text/plain", "body")
 	head, body, err := http1.ReadResponseHead(bufio.NewReader(strings.NewReader(text)), "GET")
 	c.Assert(err, qt.IsNil)
 	response := serverResponse{head, body}
--- a/internal/router/dataplane/pool_test.go
+++ b/internal/router/dataplane/pool_test.go
@@ -8,24 +8,25 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// newTestPool returns a pool of so many connections, and two servers that let them be.
-func newTestPool(t *testing.T, most int) (*pool, connectionSpec, connectionSpec) {
+// newTestPool returns a pool of up to maxOpen connections, and specs for connections to two servers that keep
+// their connections open.
+func newTestPool(t *testing.T, maxOpen int) (*pool, connectionSpec, connectionSpec) {
 	t.Helper()
-	pool := newPool(&counters{}, nil, most, func(string) bool { return true })
+	pool := newPool(&counters{}, nil, maxOpen, func(string) bool { return true })
 	a := connectionSpec{server: newFakeServer(t, "a", "s", "", respondOK("")).Server, maxIdle: time.Minute}
 	b := connectionSpec{server: newFakeServer(t, "b", "s", "", respondOK("")).Server, maxIdle: time.Minute}
 	return pool, a, b
 }
 
-func getConnection(c *qt.C, pool *pool, w connectionSpec) *connection {
+func getConnection(c *qt.C, pool *pool, spec connectionSpec) *connection {
 	c.Helper()
-	conn, err := pool.get(context.Background(), w)
+	conn, err := pool.get(context.Background(), spec)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { conn.Close() })
 	return conn
 }
 
-func TestPoolReturnsTheLastUsedFirst(t *testing.T) {
+func TestPoolReturnsMostRecentlyUsedConnection(t *testing.T) {
 	c := qt.New(t)
 	pool, a, _ := newTestPool(t, 9)
 	first, second := getConnection(c, pool, a), getConnection(c, pool, a)
@@ -36,15 +37,15 @@
 	c.Assert(getConnection(c, pool, a).reused, qt.IsFalse)
 }
 
-func TestPoolKeepsOlderConnectionsForCallsThatMayUseThem(t *testing.T) {
+func TestPoolKeepsOldConnectionsForCallsThatPermitThem(t *testing.T) {
 	c := qt.New(t)
 	pool, a, _ := newTestPool(t, 9)
 	old := getConnection(c, pool, a)
 	pool.put(old, time.Minute)
 	old.idleSince = old.idleSince.Add(-10 * time.Second)
-	young := a
-	young.maxIdle = time.Second
-	c.Assert(getConnection(c, pool, young), qt.Not(qt.Equals), old)
+	shortIdle := a
+	shortIdle.maxIdle = time.Second
+	c.Assert(getConnection(c, pool, shortIdle), qt.Not(qt.Equals), old)
 	c.Assert(getConnection(c, pool, a), qt.Equals, old)
 }
 
@@ -63,13 +64,13 @@
 	first, second := getConnection(c, pool, a), getConnection(c, pool, a)
 	pool.put(first, time.Minute)
 	pool.put(second, time.Minute)
-	pool.mu.Lock() // a sweep may read them
+	pool.mu.Lock() // a sweep may read the fields concurrently
 	first.expiresAt, second.expiresAt = time.Now(), time.Now()
 	pool.mu.Unlock()
-	c.Assert(getConnection(c, pool, a).reused, qt.IsFalse) // a place is made for it
+	c.Assert(getConnection(c, pool, a).reused, qt.IsFalse) // an expired one was closed to make room
 }
 
-func TestFullPoolTakesIdleConnectionsOfOtherServers(t *testing.T) {
+func TestFullPoolClosesIdleConnectionOfAnotherServer(t *testing.T) {
 	c := qt.New(t)
 	pool, a, b := newTestPool(t, 2)
 	idle, busy := getConnection(c, pool, a), getConnection(c, pool, a)
--- a/internal/router/dataplane/randomfaults_test.go
+++ b/internal/router/dataplane/randomfaults_test.go
@@ -14,28 +14,30 @@
 	"cresshub/internal/router/catalog"
 )
 
-// lastEvent is how many events each stream of the faulty model servers has.
-const lastEvent = 6
+// eventsPerStream is how many events a stream of the faulty model servers has.
+const eventsPerStream = 6
 
-// faultyModel are model servers that behave in every way a faulty server may, and record what ran.
+// faultyModel handles the requests of servers that fail at random in every way that a faulty server may, and
+// records which requests ran.
 type faultyModel struct {
 	mu         sync.Mutex
 	random     *rand.Rand
-	runs       map[string]int     // by the id of the attempt
-	arrivals   map[string]int     // likewise, without first prefill calls
-	owners     map[string]string  // of handles, until they are taken
-	completed  map[string]bool    // attempts with a complete response on a connection that was not spoiled
-	spoiled    map[io.Writer]bool // connections with bytes that belong to no request on them
-	violations []string           // what no server may observe
+	runs       map[string]int     // of requests, by the id of the attempt
+	arrivals   map[string]int     // of calls, by the id of the attempt; of prefill calls only the rejected ones
+	owners     map[string]string  // attempts by their handle, until it is used or released
+	completed  map[string]bool    // attempts with a complete response on a connection that is not desynced
+	desynced   map[io.Writer]bool // connections on which bytes belong to no request
+	violations []string           // observations that the proxy's rules exclude
 	handles    int
 }
 
 func newFaultyModel(seed uint64) *faultyModel {
 	return &faultyModel{random: rand.New(rand.NewPCG(seed, 3)), runs: map[string]int{},
 		arrivals: map[string]int{},
-		owners:   map[string]string{}, completed: map[string]bool{}, spoiled: map[io.Writer]bool{}}
+		owners:   map[string]string{}, completed: map[string]bool{}, desynced: map[io.Writer]bool{}}
 }
 
+// draw returns a random number from 0 to n-1.
 func (m *faultyModel) draw(n int) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,7 +56,7 @@
 	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-// answer handles a request that is to be run.
+// answer handles a request that is to be run. It rejects some, and fails some before or after they have run.
 func (m *faultyModel) answer(req *http1.Request, w io.Writer) bool {
 	id := req.Header.Get(tryIDHeader)
 	m.count(m.arrivals, id)
@@ -83,47 +85,48 @@
 	case 3:
 		return respondStatus(503)(req, w)
 	case 4:
-		m.spoilConnection(w)
+		m.markDesynced(w)
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: other\r\n", stamp, "\r\n", contentLength("other"),
 			"other")
 	}
 	return m.decode(req, w)
 }
 
-// spoilConnection records that a connection carries more than the responses to its requests.
-func (m *faultyModel) spoilConnection(w io.Writer) {
+// markDesynced records that a connection carries bytes beside the responses to its requests.
+func (m *faultyModel) markDesynced(w io.Writer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.spoiled[w] = true
+	m.desynced[w] = true
 }
 
-// complete records that all of an attempt's own response is about to be written.
+// complete records that the complete response to an attempt is about to be written, unless the connection is
+// desynced.
 func (m *faultyModel) complete(id string, w io.Writer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.spoiled[w] {
+	if !m.desynced[w] {
 		m.completed[id] = true
 	}
 }
 
-// decode writes the response, and at times less or more than it.
+// decode writes the response, and sometimes truncates it or writes a surplus one.
 func (m *faultyModel) decode(req *http1.Request, w io.Writer) bool {
 	id := req.Header.Get(tryIDHeader)
 	if strings.HasPrefix(req.Target, "/safe/") || strings.HasPrefix(req.Target, "/unsafe/") {
 		body := "for " + id
-		told := len(body) + 5*(m.draw(8)/7)
-		if told == len(body) {
+		announced := len(body) + 5*(m.draw(8)/7)
+		if announced == len(body) {
 			m.complete(id, w)
 		}
-		fmt.Fprintf(w, "%sContent-Length: %d\r\n\r\n%s", responseHead(req, 200, stamp), told, body)
-		if told == len(body) && m.draw(8) == 0 {
-			m.spoilConnection(w)
+		fmt.Fprintf(w, "%sContent-Length: %d\r\n\r\n%s", responseHead(req, 200, stamp), announced, body)
+		if announced == len(body) && m.draw(8) == 0 {
+			m.markDesynced(w)
 			io.WriteString(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: late\r\nContent-Length: 0\r\n\r\n")
 		}
-		return told == len(body)
+		return announced == len(body)
 	}
 	io.WriteString(w, streamHead(req, "s"))
-	for piece := parseCount(req.Header.Get(lastEventHeader)) + 1; piece <= lastEvent; piece++ {
+	for piece := parseCount(req.Header.Get(lastEventHeader)) + 1; piece <= eventsPerStream; piece++ {
 		text := chunk(eventWith(id, piece))
 		if m.draw(30) == 0 {
 			io.WriteString(w, text[:m.draw(len(text))])
@@ -136,6 +139,7 @@
 	return true
 }
 
+// eventWith returns the encoded event number piece of the response to an attempt.
 func eventWith(id string, piece int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", piece, id) }
 
 // prefill handles a prefill call.
@@ -162,21 +166,22 @@
 	return respondHandle(handle)(req, w)
 }
 
-// takeHandle takes the prefix cache of a handle for an attempt, or releases it.
+// takeHandle uses up a handle: to fetch the prefix cache for an attempt, or to release it if id is "". It
+// reports whether the prefix cache was fetched, which fails at random even if the handle was valid.
 func (m *faultyModel) takeHandle(from, id string) bool {
 	handle := from[strings.LastIndexByte(from, '/')+1:]
 	m.mu.Lock()
-	owner, kept := m.owners[handle]
+	owner, valid := m.owners[handle]
 	delete(m.owners, handle)
 	m.mu.Unlock()
-	if kept && id != "" && owner != id {
-		m.report("attempt %s goes on from the handle of attempt %s", id, owner)
+	if valid && id != "" && owner != id {
+		m.report("attempt %s uses the handle of attempt %s", id, owner)
 	}
-	return kept && m.draw(6) > 0
+	return valid && m.draw(6) > 0
 }
 
-// sendRequests sends requests one after the other, each on the connection of the previous one where it is
-// still good.
+// sendRequests sends requests one after the other, each on the connection of the previous one if that is
+// still open, and calls check with each result.
 func (m *faultyModel) sendRequests(rig *testRig, name string, count int,
 	check func(id, route string, got clientResult)) {
 	routes := []string{"safe", "unsafe", "stream", "firm", "model", "modelfirm", "single"}
@@ -184,12 +189,12 @@
 	for n := range count {
 		id, route := fmt.Sprintf("%s-%d", name, n), routes[m.draw(len(routes))]
 		if client.Conn == nil && !client.connect(rig.address) {
-			m.report("nobody listens at %s", rig.address)
+			m.report("the proxy does not accept connections at %s", rig.address)
 			return
 		}
 		client.post(route, id, "prompt of "+id)
 		response, err := client.read()
-		got := clientResult{cut: err != nil}
+		got := clientResult{truncated: err != nil}
 		if response != nil {
 			got.status, got.body = response.Status, string(response.Body)
 		}
@@ -204,8 +209,8 @@
 	}
 }
 
-// Many clients, and servers with random faults: whatever happens, the invariants hold, whoever got a
-// complete response is counted as served, and so is half of all requests.
+// Many clients send requests to servers with random faults. The invariants must hold, each request with a
+// complete response on a connection that is not desynced must be served, and so must half of all requests.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	const clients, requests, seeds = 8, 150, 3
 	served := 0
@@ -237,57 +242,59 @@
 			wg.Wait()
 			rig.awaitCallsEnded()
 			rig.Assert(model.violations, qt.HasLen, 0)
-			t.Log("answers by status", results, "repeats", model.repeats(), "counts", rig.proxy.Stats())
-			most := ratioFraction*0.2*clients*requests + 2*slackFraction*100
-			rig.Assert(float64(model.repeats()) <= most, qt.IsTrue, qt.Commentf("%d repeats", model.repeats()))
+			t.Log("responses by status", results, "retries", model.retries(), "counts", rig.proxy.Stats())
+			maxRetries := ratioFraction*0.2*clients*requests + 2*slackFraction*100
+			rig.Assert(float64(model.retries()) <= maxRetries, qt.IsTrue, qt.Commentf("%d retries", model.retries()))
 			served += results[200]
 		})
 	}
-	// How many are served is drawn with the faults: 645 of 1,200 on average with a standard deviation of 19, so
-	// one seed of a hundred lies below half. All seeds together lie four deviations above it.
+	// The number of served requests depends on the random faults: 645 of 1,200 on average with a standard
+	// deviation of 19, so one seed in a hundred lies below half. The sum over all seeds lies four standard
+	// deviations above half.
 	qt.Assert(t, served > seeds*clients*requests/2, qt.IsTrue, qt.Commentf("%d served", served))
 }
 
-// repeats is how many arrivals were not the first of their attempt.
-func (m *faultyModel) repeats() (sum int) {
+// retries returns how many calls were not the first of their attempt.
+func (m *faultyModel) retries() (sum int) {
 	for _, arrivals := range m.arrivals {
 		sum += max(arrivals-1, 0)
 	}
 	return sum
 }
 
-// check reports a response that breaks a rule.
+// check reports a result that violates a rule.
 func (m *faultyModel) check(id, route string, got clientResult) {
 	m.mu.Lock()
-	runs, arrivals, whole := m.runs[id], m.arrivals[id], m.completed[id]
+	runs, arrivals, complete := m.runs[id], m.arrivals[id], m.completed[id]
 	m.mu.Unlock()
 	once := route == "unsafe" || route == "firm" || route == "modelfirm"
-	most := 3
+	maxAttempts := 3
 	if route == "single" {
-		most = 1
+		maxAttempts = 1
 	}
 	want := "for " + id
 	if route != "safe" && route != "unsafe" {
 		want = ""
-		for piece := 1; piece <= lastEvent; piece++ {
+		for piece := 1; piece <= eventsPerStream; piece++ {
 			want += eventWith(id, piece)
 		}
 	}
 	switch {
 	case once && runs > 1:
 		m.report("%s %s ran %d times", route, id, runs)
-	case arrivals > most:
-		m.report("%s %s came to %d servers", route, id, arrivals)
-	case whole && (got.status != 200 || got.cut):
-		m.report("%s %s was answered whole and got status %d, cut %t", route, id, got.status, got.cut)
+	case arrivals > maxAttempts:
+		m.report("%s %s was sent to %d servers", route, id, arrivals)
+	case complete && (got.status != 200 || got.truncated):
+		m.report("%s %s had a complete response and got status %d, truncated %t", route, id, got.status,
+			got.truncated)
 	case got.status == 503 && once && runs > 0:
-		m.report("%s %s ran and was refused", route, id)
-	case got.status == 200 && !got.cut && got.body != want:
+		m.report("%s %s ran and was rejected", route, id)
+	case got.status == 200 && !got.truncated && got.body != want:
 		m.report("%s %s got %q", route, id, got.body)
-	case got.status == 200 && got.cut && !strings.HasPrefix(want, got.body):
-		m.report("%s %s got %q before the cut", route, id, got.body)
+	case got.status == 200 && got.truncated && !strings.HasPrefix(want, got.body):
+		m.report("%s %s got %q before it was truncated", route, id, got.body)
 	case got.status == 0:
-		m.report("%s %s got no answer", route, id)
+		m.report("%s %s got no response", route, id)
 	case got.status != 200 && got.status != 500 && got.status != 502 && got.status != 503:
 		m.report("%s %s got status %d", route, id, got.status)
 	}
--- a/internal/router/dataplane/readdeadline_test.go
+++ b/internal/router/dataplane/readdeadline_test.go
@@ -14,9 +14,9 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// A call that times out is given up for another server, and for nothing else: where no retry is left by
-// then its server is waited for until the request's deadline.
-func TestServerIsWaitedForWhereNoRetryIsLeft(t *testing.T) {
+// A call that times out is aborted only if another server can be called instead. If no retry is left by then,
+// the proxy keeps waiting for the server until the request's deadline.
+func TestReadDeadlineIsExtendedWhenNoRetryIsLeft(t *testing.T) {
 	for _, test := range []struct {
 		name, route string
 		slack       float64
@@ -49,7 +49,7 @@
 	}
 }
 
-// readFromTimedOutServer reads a byte from a server that has timed out, and which then sends one.
+// readFromTimedOutServer reads from a server whose read deadline has passed and which then sends one byte.
 func (r *testRig) readFromTimedOutServer(routeName string, change func(*call)) (int, error) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -71,27 +71,27 @@
 	return socket.Read(make([]byte, 1))
 }
 
-// A server that has timed out and that no other one could replace is waited for: giving it up would end the
-// response sooner, and for nothing.
-func TestServerIsWaitedForWhereNoOtherCanAnswer(t *testing.T) {
+// The proxy keeps waiting for a server that has timed out if no other one could replace it: aborting the call
+// would only end the response sooner.
+func TestReadDeadlineIsExtendedWithoutAlternativeServer(t *testing.T) {
 	begun := func(call *call) {
 		call.roundTrip.relay.started, call.roundTrip.relay.order.lastIDKnown = true, true
 	}
-	untouched := func(*call) {}
+	unchanged := func(*call) {}
 	other := &fakeServer{Server: &catalog.Server{ID: "i-2", Service: "lookup", State: catalog.Ready}}
 	for _, test := range []struct {
 		name, route string
 		others      []*fakeServer
-		full        bool // as far as the scheduler knows
+		full        bool // the scheduler knows of no free slot
 		change      func(call *call)
 		waits       bool
 	}{
-		{"no other server", "safe", nil, false, untouched, true},
+		{"no other server", "safe", nil, false, unchanged, true},
 		{"no other server for the stream", "stream", nil, false, begun, true},
-		{"another one has a free slot", "safe", []*fakeServer{other}, false, untouched, false},
+		{"another one has a free slot", "safe", []*fakeServer{other}, false, unchanged, false},
 		{"another one may resume the stream", "stream", []*fakeServer{other}, false, begun, false},
 		{"all others would reject the stream", "stream", []*fakeServer{other}, true, begun, true},
-		{"all others are full before a response", "safe", []*fakeServer{other}, true, untouched, false},
+		{"all others are full before a response", "safe", []*fakeServer{other}, true, unchanged, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			rig := newRig(t, withRetrySlack(100), test.others...)
--- a/internal/router/dataplane/response_test.go
+++ b/internal/router/dataplane/response_test.go
@@ -15,26 +15,26 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// respondSized responds with a body of that size, by its length or in chunks. Where whole is false the last
-// ten bytes are missing and the connection is closed.
-func respondSized(size int, chunked, whole bool) handler {
+// respondSized responds with a body of that size, with a Content-Length or in chunks. If complete is false,
+// the last ten bytes are missing and the connection is closed.
+func respondSized(size int, chunked, complete bool) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		body := strings.Repeat("x", size)
-		if !whole {
+		if !complete {
 			body = body[:size-10]
 		}
 		if !chunked {
 			fmt.Fprint(w, responseHead(req, 200, stamp), fmt.Sprintf("Content-Length: %d\r\n\r\n", size), body)
-			return whole
+			return complete
 		}
 		fmt.Fprint(w, responseHead(req, 200, stamp, "Transfer-Encoding: chunked"), "\r\n")
 		for at := 0; at < len(body); at += 5000 {
 			io.WriteString(w, chunk(body[at:min(at+5000, len(body))]))
 		}
-		if whole {
+		if complete {
 			io.WriteString(w, "0\r\n\r\n")
 		}
-		return whole
+		return complete
 	}
 }
 
@@ -51,7 +51,7 @@
 					rig.Assert(len(response.Body), qt.Equals, size)
 				}
 				rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, int64(1))
-				rig.eventually("the memory is given back", func() bool { return rig.proxy.bodies.Used() == 0 })
+				rig.eventually("the buffers' memory is released", func() bool { return rig.proxy.bodies.Used() == 0 })
 			})
 		}
 	}
@@ -80,8 +80,9 @@
 	}
 }
 
-// A response without a length is complete where its connection ends in order, and is not where it is reset.
-func TestResponseThatOnlyItsConnectionEnds(t *testing.T) {
+// A response without a length is complete if the connection is closed in order, and incomplete if it is
+// reset.
+func TestResponseDelimitedByConnectionEnd(t *testing.T) {
 	for _, size := range []int{20, 300_000} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, reset), func(t *testing.T) {
@@ -97,7 +98,7 @@
 				rig := newRig(t, nil, server)
 				client := rig.dial()
 				client.send("POST", "/unsafe/", "a", "")
-				if size > maxBufferedBodyBytes { // a reset would take away what the client is to see
+				if size > maxBufferedBodyBytes { // wait for the start: a reset discards what was not forwarded yet
 					_, err := client.in.Peek(1)
 					rig.Assert(err, qt.IsNil)
 				}
@@ -121,7 +122,7 @@
 	}
 }
 
-func TestLargeResponseWithoutMemoryIsForwardedAsItComes(t *testing.T) {
+func TestLargeResponseWithoutMemoryIsForwardedAsItArrives(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", respondSized(50_000, true, true))
 	rig := newRig(t, func(settings *agentsettings.Settings, _ *fakeState) { settings.MemoryBytes = 8 * 10_000 },
 		server)
@@ -170,13 +171,13 @@
 	}
 }
 
-// A surplus response that arrives while the connection is idle, or right after the next request was sent.
+// A surplus response arrives while the connection is idle, or right after the next request was sent.
 func TestLateSurplusResponse(t *testing.T) {
 	late := make(chan bool, 1)
 	handle := func(req *http1.Request, w io.Writer) bool {
 		if req.Header.Get(tryIDHeader) == "a2" {
 			select {
-			case <-late: // the server answers the first request again, and only then this one
+			case <-late: // responds to the first request again before it responds to this one
 				fmt.Fprint(w, "HTTP/1.1 200 OK\r\nCresshub-Try-Id: a1\r\n", stamp, "\r\n", contentLength("late"), "late")
 			default:
 			}
@@ -193,7 +194,7 @@
 	rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, int64(2))
 }
 
-func TestConnectionsAreReusedAsTheirServerAnnounces(t *testing.T) {
+func TestConnectionReuseFollowsKeepAlive(t *testing.T) {
 	for field, dialled := range map[string]int64{
 		"X: y": 1, "Keep-Alive: timeout=5": 1, "Keep-Alive: timeout=0": 3, "Connection: close": 3,
 	} {
@@ -201,13 +202,13 @@
 			server := newFakeServer(t, "i-1", "lookup", "", respondStatus(200, stamp, field))
 			for end, inTime := time.Now().Add(testTimeout), false; !inTime; {
 				rig := newRig(t, nil, server)
-				rig.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("three requests always take too long"))
+				rig.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("three requests took too long in each try"))
 				client := rig.dial()
 				began := time.Now()
 				for range 3 {
 					client.do("POST", "/unsafe/", "a", "")
 				}
-				// A connection that has been idle for longer is not used again, whatever its server announced.
+				// A connection that has been idle for longer is not reused, whatever its server announced.
 				inTime = time.Since(began) < defaultIdleTime
 				if inTime {
 					rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, dialled)
@@ -217,13 +218,13 @@
 	}
 }
 
-func TestConnectionThatEndedWhileIdleIsNotUsed(t *testing.T) {
+func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	server := newFakeServer(t, "i-1", "lookup", "", keepingAlive(closeAfter(respondOK("x"))))
 	rig := newRig(t, nil, server)
 	client := rig.dial()
 	for range 3 {
 		rig.Assert(client.do("POST", "/unsafe/", "a", "").Status, qt.Equals, 200)
-		rig.eventually("the server has ended it", func() bool { return rig.idleEnded("i-1") })
+		rig.eventually("the server has closed the connection", func() bool { return rig.idleEnded("i-1") })
 	}
 	rig.Assert(rig.proxy.Stats().Dialled, qt.Equals, int64(3))
 }
@@ -244,8 +245,8 @@
 	return len(conns.idle) > 0
 }
 
-// A server that closes an idle connection while a request is on its way leaves open whether it ran.
-func TestConnectionThatEndsWithTheNextRequest(t *testing.T) {
+// If a server closes an idle connection while a request is in transit, it is unknown whether the request ran.
+func TestConnectionClosedDuringNextRequest(t *testing.T) {
 	for route, test := range map[string]struct{ status, arrivals int }{"safe": {200, 3}, "unsafe": {502, 2}} {
 		t.Run(route, func(t *testing.T) {
 			server := newFakeServer(t, "i-1", "lookup", "",
--- a/internal/router/dataplane/stalls_test.go
+++ b/internal/router/dataplane/stalls_test.go
@@ -16,12 +16,12 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// stall has the proxy count all the time from now on as time in which its process did not run.
+// stall makes the proxy count all time from now on, for an hour, as time in which its process was stalled.
 func (r *testRig) stall() { r.proxy.clock.Inject(time.Now().Add(time.Hour), time.Hour) }
 
-// newUnansweringServer returns a server whose machine does not answer those who connect: the backlog of its
-// listener is full.
-func newUnansweringServer(t *testing.T) *fakeServer {
+// newUnreachableServer returns a server whose machine does not respond to connection attempts, because the
+// backlog of its listener is full.
+func newUnreachableServer(t *testing.T) *fakeServer {
 	t.Helper()
 	c := qt.New(t)
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -32,7 +32,7 @@
 	name, err := syscall.Getsockname(fd)
 	c.Assert(err, qt.IsNil)
 	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(name.(*syscall.SockaddrInet4).Port))
-	for { // until nobody gets in
+	for { // until the backlog is full
 		conn, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 		if err != nil {
 			break
@@ -43,9 +43,9 @@
 		State: catalog.Ready}}
 }
 
-// A process that did not run cannot tell that a server is unreachable or silent: where the request's own time
-// ends the call, the server is neither suspected nor does it count as timed out. One that ran can.
-func TestStalledProcessJudgesNoServer(t *testing.T) {
+// A process that was stalled can't tell whether a server is unreachable or silent. If the request's deadline
+// ends the call, the server is neither reported as suspect nor counted as timed out. Without a stall it is.
+func TestServerIsNotBlamedForStallOfThisProcess(t *testing.T) {
 	const deadline = 2 * minDialTimeout
 	for _, test := range []struct {
 		name      string
@@ -54,8 +54,8 @@
 		outcome   scheduler.Outcome
 		suspected int
 	}{
-		{"unreachable", newUnansweringServer, false, scheduler.Unreachable, 1},
-		{"unreachable, stalled", newUnansweringServer, true, scheduler.Abandoned, 0},
+		{"unreachable", newUnreachableServer, false, scheduler.Unreachable, 1},
+		{"unreachable, stalled", newUnreachableServer, true, scheduler.Abandoned, 0},
 		{"silent", newSilentServer, false, scheduler.TimedOut, 0},
 		{"silent, stalled", newSilentServer, true, scheduler.Abandoned, 0},
 	} {
@@ -83,9 +83,9 @@
 	return newFakeServer(t, "i-0", "lookup", "", neverAnswer(make(chan string, 9)))
 }
 
-// What a server has answered by the time at which the process runs again is read, though the call should have
-// timed out long ago, and so is what comes soon after that.
-func TestResponseThatCameDuringAStallIsRead(t *testing.T) {
+// After a stall, a response that has arrived meanwhile is read although the call's timeout has passed, and so
+// is one that arrives soon after the stall.
+func TestResponseReceivedDuringStallIsRead(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nCresshub-Try-Id: a\r\nContent-Length: 0\r\n\r\n"
 	for _, arrived := range []bool{true, false} {
 		rig := newRig(t, nil)
@@ -115,7 +115,7 @@
 	}
 }
 
-// tcpPair returns both ends of a TCP connection.
+// tcpPair returns the two ends of a TCP connection.
 func tcpPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	c := qt.New(t)
--- a/internal/router/dataplane/stream_test.go
+++ b/internal/router/dataplane/stream_test.go
@@ -15,28 +15,27 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// streamHead returns the head of a stream that names its server in its stamp.
+// streamHead returns the head of a stream with that server stamp.
 func streamHead(req *http1.Request, stamp string) string {
 	return responseHead(req, 200, "Cresshub-Server-Stamp: "+stamp, "Content-Type: text/event-stream",
 		"Transfer-Encoding: chunked") + "\r\n"
 }
 
-// streamChunks responds with a stream of these chunks, which it ends where whole is true and breaks off
-// otherwise.
-func streamChunks(stamp string, whole bool, chunks ...string) handler {
+// streamChunks responds with a stream of these chunks. It truncates the stream if complete is false.
+func streamChunks(stamp string, complete bool, chunks ...string) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(req, stamp))
 		for _, text := range chunks {
 			io.WriteString(w, chunk(text))
 		}
-		if whole {
+		if complete {
 			io.WriteString(w, "0\r\n\r\n")
 		}
-		return whole
+		return complete
 	}
 }
 
-// resumesUntil responds with the events after Last-Event-Id up to the last one.
+// resumesUntil responds with the events after Last-Event-Id, up to the one with the id last.
 func resumesUntil(last int) handler {
 	return func(req *http1.Request, w io.Writer) bool {
 		from := parseCount(req.Header.Get(lastEventHeader)) + 1
@@ -44,7 +43,7 @@
 	}
 }
 
-func TestEventsAreForwardedAsTheyCome(t *testing.T) {
+func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
 	next := make(chan bool)
 	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
 		io.WriteString(w, streamHead(req, "s"))
@@ -65,7 +64,7 @@
 		got := make([]byte, len(eventText(id)))
 		_, err := io.ReadFull(body, got)
 		rig.Assert(err, qt.IsNil)
-		rig.Assert(string(got), qt.Equals, eventText(id)) // while its server waits
+		rig.Assert(string(got), qt.Equals, eventText(id)) // before the server sends more
 		next <- true
 	}
 	_, err = body.Read(make([]byte, 1))
@@ -82,23 +81,24 @@
 		body    string
 		calls   int
 	}{
-		{"broken between events",
+		{"truncated between events",
 			[]handler{streamChunks("first", false, eventText(1), eventText(2)), resumesUntil(5)},
 			eventsText(1, 5), 2},
-		{"broken within an event",
+		{"truncated within an event",
 			[]handler{streamChunks("first", false, eventText(1), eventText(2)+half), resumesUntil(5)},
 			eventsText(1, 5), 2},
-		{"broken twice",
+		{"truncated twice",
 			[]handler{streamChunks("first", false, eventText(1)), streamChunks("second", false, eventText(2)),
 				resumesUntil(4)},
 			eventsText(1, 4), 3},
-		{"the next one is full",
+		{"the next server is full",
 			[]handler{streamChunks("first", false, eventText(1)), rejectFull, resumesUntil(4)},
 			eventsText(1, 4), 3},
-		{"the next one begins again",
+		{"the next server restarts from the first event",
 			[]handler{streamChunks("first", false, eventText(1), eventText(2)), streamEvents(1, 4, true)},
 			eventsText(1, 4), 2},
-		{"nothing was missing", []handler{streamChunks("first", false, eventText(1)), streamChunks("second", true)},
+		{"no event was missing",
+			[]handler{streamChunks("first", false, eventText(1)), streamChunks("second", true)},
 			eventsText(1, 1), 2},
 		{"nonsense", []handler{func(req *http1.Request, w io.Writer) bool {
 			io.WriteString(w, streamHead(req, "first")+chunk(eventText(1))+"no chunk\r\n")
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestClientResumesItself(t *testing.T) {
+func TestClientResumesStream(t *testing.T) {
 	servers := newLookupServers(t, inTurn(func(req *http1.Request, w io.Writer) bool {
 		from := parseCount(req.Header.Get(lastEventHeader)) + 1
 		return streamEvents(from, from+1, false)(req, w)
@@ -212,7 +212,7 @@
 	rig.Assert(servers[1].got()[0].Header.Repeated(lastEventHeader), qt.Equals, "")
 }
 
-func TestStreamWithALengthReachesEveryClient(t *testing.T) {
+func TestStreamWithContentLengthIsForwarded(t *testing.T) {
 	all := eventsText(1, 3) + "id: 4\ndata: without a blank line"
 	server := newFakeServer(t, "i-1", "lookup", "", func(req *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, responseHead(req, 200, stamp, "Content-Type: text/event-stream; charset=utf-8"),
@@ -245,7 +245,7 @@
 	}
 }
 
-func TestEventBeyondBoundsIsNoEvent(t *testing.T) {
+func TestTooLargeEventFailsTheRequest(t *testing.T) {
 	huge := make([]byte, maxEventBytes+bufferSize+1)
 	for i := range huge {
 		huge[i] = 'x'
@@ -255,8 +255,8 @@
 	rig.Assert(rig.dial().do("POST", "/firm/", "a", "").Status, qt.Equals, 502)
 }
 
-// What only the end of the connection ends is reset where it is not complete, also where the client's next
-// request has arrived.
+// An incomplete response that is delimited only by the end of the connection ends with a reset, even if the
+// client's next request has arrived.
 func TestHTTP10ClientSeesThatItsStreamWasTruncated(t *testing.T) {
 	const request = "GET /firm/ HTTP/1.0\r\nHost: h\r\nCresshub-Try-Id: b\r\n\r\n"
 	for _, sent := range []string{request, request + request} {
@@ -280,7 +280,7 @@
 	}
 }
 
-// A server that has stalled is no reason to end a stream that no other server could resume.
+// The timeout for a stalled server must not end a stream that no other server could resume.
 func TestTimeoutEndsOnlyResumableStreams(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
@@ -296,8 +296,8 @@
 	c.Assert(r.gapDeadline(call), qt.Equals, req.hardDeadline)
 }
 
-// The rest of a response that is no stream cannot be had from another server.
-func TestLargeResponseOnAStreamRouteIsNotMixed(t *testing.T) {
+// No other server can send the rest of a response that is not a stream.
+func TestLargeResponseOnStreamRouteIsNotResumed(t *testing.T) {
 	large := func(req *http1.Request, w io.Writer) bool {
 		fmt.Fprint(w, responseHead(req, 200, stamp, "Content-Type: text/plain"), "Content-Length: 300000\r\n\r\n")
 		w.Write(make([]byte, 200_000))
@@ -312,9 +312,9 @@
 	rig.Assert(requestsReceived(servers), qt.Equals, 1)
 }
 
-// TestVersionsReachTheClient: the version of a server's weights stays in the head and at the event where it
-// changes. After a switch of servers the head of the first stays.
-func TestVersionsReachTheClient(t *testing.T) {
+// TestModelVersionsAreForwarded checks that the version of a server's weights is forwarded in the head and at
+// the event where it changes, and that the client has the head of the first server after a resumption.
+func TestModelVersionsAreForwarded(t *testing.T) {
 	begins := func(req *http1.Request, w io.Writer) bool {
 		io.WriteString(w, responseHead(req, 200, stamp, "Versions: 7", "Content-Type: text/event-stream",
 			"Transfer-Encoding: chunked")+"\r\n"+chunk(eventText(1))+chunk("versions: 8\n"+eventText(2)))
--- a/internal/router/dataplane/surplus_test.go
+++ b/internal/router/dataplane/surplus_test.go
@@ -15,9 +15,10 @@
 	"cresshub/internal/http1"
 )
 
-// A server that sends any number of bytes of a surplus response before the next one of the same connection,
-// too late for them to be noticed while it was idle: nobody gets another one's response.
-func TestEveryPartOfALateSurplusResponse(t *testing.T) {
+// A server sends any number of bytes of a surplus response before its next response on the same connection,
+// too late for the proxy to notice them while the connection is idle. No client may get the response to
+// another request.
+func TestSurplusResponseTruncatedAtEveryByte(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
 		for _, framing := range []framing{byLength, byChunks} {
 			for _, own := range []bool{false, true} {
@@ -30,9 +31,10 @@
 	}
 }
 
-// surplusAtEveryByte sends two requests for each number of bytes: before the response to the second one
-// there is a part of the response to the first one, or to a request that nobody sent.
-func surplusAtEveryByte(t *testing.T, route string, framing framing, own bool) {
+// surplusAtEveryByte sends two requests for each number of bytes. The response to the second one is preceded
+// by that many bytes of a surplus response: to the first request if ownID is true, otherwise to one that no
+// client sent.
+func surplusAtEveryByte(t *testing.T, route string, framing framing, ownID bool) {
 	t.Helper()
 	var mu sync.Mutex
 	surplus := map[io.Writer]string{}
@@ -40,12 +42,12 @@
 	point := 0
 	serve := func(req *http1.Request, w io.Writer) bool {
 		attempt := &faultyAttempt{id: req.Header.Get(tryIDHeader), route: route, framing: framing}
-		text, _ := attempt.answer(req)
+		text, _ := attempt.encodeResponse(req)
 		mu.Lock()
 		ran[attempt.id] = true
 		before := surplus[w]
 		surplus[w] = text
-		if !own {
+		if !ownID {
 			surplus[w] = strings.ReplaceAll(text, attempt.id, "zzz")
 		}
 		before = before[:min(point, len(before))]
@@ -62,27 +64,27 @@
 		point = at
 		clear(surplus)
 		mu.Unlock()
-		for _, half := range []struct {
+		for _, step := range []struct {
 			name     string
 			deadline time.Duration
 		}{{"a", testTimeout}, {"b", 80 * time.Millisecond}} {
 			client.reconnect(rig)
-			attempt := &faultyAttempt{id: fmt.Sprintf("%s%02x", half.name, at), route: route, framing: framing}
+			attempt := &faultyAttempt{id: fmt.Sprintf("%s%02x", step.name, at), route: route, framing: framing}
 			began := time.Now()
-			got := client.postAndRead(route, attempt.id, fmt.Sprint(half.deadline.Milliseconds()))
+			got := client.postAndRead(route, attempt.id, fmt.Sprint(step.deadline.Milliseconds()))
 			mu.Lock()
 			hasRun := ran[attempt.id]
 			mu.Unlock()
 			switch {
 			case got == clientResult{200, attempt.body(), false}:
 				served++
-			case got.cameTooLate(half.deadline, began): // it proves nothing
-			case half.name == "a":
-				t.Errorf("%s, with nothing before it: %+v", attempt.id, got)
-			case got.status == 503 && !hasRun: // its 80 ms were over before it was sent
-			case got.status == 504 && !got.cut: // the piece told of a longer body than ever came
+			case got.cameTooLate(step.deadline, began): // it proves nothing
+			case step.name == "a":
+				t.Errorf("%s, without surplus bytes before it: %+v", attempt.id, got)
+			case got.status == 503 && !hasRun: // the deadline of 80 ms passed before the request was sent
+			case got.status == 504 && !got.truncated: // the surplus head announced a longer body than arrived
 			case route == "safe" || route == "stream", got.status != 502:
-				t.Errorf("%s behind %d bytes: %+v", attempt.id, at, got)
+				t.Errorf("%s after %d surplus bytes: %+v", attempt.id, at, got)
 			}
 		}
 	}
@@ -90,14 +92,15 @@
 	rig.Assert(served > length, qt.IsTrue)
 }
 
-// text is the response to the attempt.
+// text returns the complete response to the attempt.
 func (a *faultyAttempt) text() string {
-	text, _ := a.answer(requestOf(a.id))
+	text, _ := a.encodeResponse(requestOf(a.id))
 	return text
 }
 
-// A server that ends the connection after any number of bytes of a request, on a new connection or on one
-// that it has forgotten: what may run once is not sent elsewhere, what is idempotent is answered elsewhere.
+// A server closes or resets the connection after any number of bytes of a request, on a new or on a reused
+// connection. A request that must not run twice must not be sent to another server, and an idempotent one
+// must be answered by another server.
 func TestFaultAtEveryByteOfARequest(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
 		for _, reused := range []bool{false, true} {
@@ -111,18 +114,20 @@
 	}
 }
 
+// faultAtEveryRequestByte sends requests to a server that reads some bytes of each, every third number up to
+// maxBytes, and then closes or resets the connection. A second server has no faults.
 func faultAtEveryRequestByte(t *testing.T, route string, reused bool, fault fault) {
 	t.Helper()
 	var mu sync.Mutex
 	point, connections := 0, 0
-	whole := func(req *http1.Request, w io.Writer) bool {
+	respondComplete := func(req *http1.Request, w io.Writer) bool {
 		attempt := &faultyAttempt{id: req.Header.Get(tryIDHeader), route: route, framing: byLength}
-		text, _ := attempt.answer(req)
+		text, _ := attempt.encodeResponse(req)
 		io.WriteString(w, text)
 		return true
 	}
-	const most = 120 // fewer bytes than a request has
-	bad := newFakeServer(t, "i-1", "lookup", "", whole)
+	const maxBytes = 120 // fewer bytes than a request has
+	bad := newFakeServer(t, "i-1", "lookup", "", respondComplete)
 	bad.listener.Close()
 	bad.listen(t, func(conn net.Conn) {
 		mu.Lock()
@@ -132,7 +137,7 @@
 		if first && reused {
 			req, _, err := http1.ReadRequestHead(bufio.NewReader(conn))
 			if err == nil {
-				whole(req, conn)
+				respondComplete(req, conn)
 			}
 		} else if !first && !reused {
 			return
@@ -142,11 +147,11 @@
 			conn.(*net.TCPConn).SetLinger(0)
 		}
 	})
-	good := newFakeServer(t, "i-2", "lookup", "", whole)
+	good := newFakeServer(t, "i-2", "lookup", "", respondComplete)
 	rig := newRig(t, withRetrySlack(1e6), bad, good)
 	client := rig.dial()
 	once := route == "unsafe" || route == "firm"
-	for at := 0; at <= most; at += 3 {
+	for at := 0; at <= maxBytes; at += 3 {
 		mu.Lock()
 		point, connections = at, 0
 		mu.Unlock()
@@ -163,7 +168,7 @@
 		case got == clientResult{200, attempt.body(), false} && elsewhere == 1 && (!once || at == 0):
 		case once && got.status == 502 && elsewhere == 0:
 		default:
-			t.Errorf("after %d bytes: %+v, %d calls elsewhere", at, got, elsewhere)
+			t.Errorf("after %d bytes: %+v, %d calls to the other server", at, got, elsewhere)
 		}
 	}
 	rig.awaitCallsEnded()
--- a/internal/router/dataplane/upload_test.go
+++ b/internal/router/dataplane/upload_test.go
@@ -21,15 +21,17 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// upload is larger than the socket buffers of both sides.
-const upload = 7 << 20
+// uploadBytes is the size of a body that is larger than the socket buffers of both sides.
+const uploadBytes = 7 << 20
 
+// withUploads is a change for newRig that permits bodies of uploadBytes.
 func withUploads(settings *agentsettings.Settings, state *fakeState) {
 	settings.MemoryBytes = 64 << 20 * bodyMemoryDivisor
-	state.config.Limits.MaxBodyBytes = upload
+	state.config.Limits.MaxBodyBytes = uploadBytes
 }
 
-// newServerWithSmallBuffers starts a server whose system buffers little of what its process does not read.
+// newServerWithSmallBuffers starts a server with a small receive buffer, so that the kernel accepts little
+// that the server does not read.
 func newServerWithSmallBuffers(t *testing.T, id string, serve func(net.Conn)) *fakeServer {
 	t.Helper()
 	server := &fakeServer{Server: &catalog.Server{ID: id, Service: "lookup", State: catalog.Ready}}
@@ -42,19 +44,19 @@
 	return server
 }
 
-// A server that answers before it has read a long body, and reads on later: the client has its response,
-// and the server finds nothing but that body where the rest of it is due. What follows takes another
-// connection.
+// A server responds before it has read all of a large body, and reads the rest later. The client must get the
+// response, and the server must read nothing but the rest of that body on the connection: the next request
+// takes another connection.
 func TestResponseBeforeTheBodyIsRead(t *testing.T) {
 	for _, answer := range []struct {
 		status int
 		answer handler
 	}{{200, respondOK("done")}, {500, respond500}, {400, respondStatus(400, "Cresshub-Not-Run: 1")}} {
-		for _, size := range []int{100_000, upload} {
+		for _, size := range []int{100_000, uploadBytes} {
 			t.Run(fmt.Sprint(answer.status, " ", size), func(t *testing.T) {
 				t.Parallel()
-				readOn, rest := make(chan bool), make(chan []byte, 1)
-				release := sync.OnceFunc(func() { close(readOn) })
+				readRest, rest := make(chan bool), make(chan []byte, 1)
+				release := sync.OnceFunc(func() { close(readRest) })
 				defer release()
 				server := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 					in := bufio.NewReader(conn)
@@ -64,7 +66,7 @@
 					}
 					answer.answer(req, conn)
 					if body.Length() == int64(size) {
-						<-readOn
+						<-readRest
 						all, _ := io.ReadAll(in)
 						rest <- all
 					}
@@ -84,22 +86,22 @@
 	}
 }
 
-// A process that does not read has stalled, and is not a dead machine: its request has all its time. The
-// system gives the connection up a little later. Where this process was not scheduled until then it can't
-// tell the two apart, and the test proves nothing.
+// A server process that does not read is not a dead machine: the call ends by the request's deadline, as a
+// timeout, and the server is not reported as suspect. The kernel would close the connection a little later.
+// If this process is not scheduled until then, it can't tell the two cases apart and the test proves nothing.
 func TestServerThatDoesNotReadTimesOut(t *testing.T) {
 	t.Parallel()
 	for end, inTime := time.Now().Add(3*testTimeout), false; !inTime; {
-		qt.Assert(t, time.Now().Before(end), qt.IsTrue, qt.Commentf("no request ends in time"))
+		qt.Assert(t, time.Now().Before(end), qt.IsTrue, qt.Commentf("no request ended in time"))
 		inTime = timesOutUnread(t)
 	}
 }
 
-// timesOutUnread sends a request to a server that does not read it. It checks how that ends, and reports
-// whether it could: this process may notice the deadline late, or before it has sent anything.
+// timesOutUnread sends a request to a server that does not read it and checks how the call ends. It returns
+// false without a check if this process noticed the deadline late, or before it had sent anything.
 func timesOutUnread(t *testing.T) bool {
 	t.Helper()
-	const deadline, late = time.Second, 200 * time.Millisecond
+	const deadline, tolerance = time.Second, 200 * time.Millisecond
 	server := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 		req, body, err := http1.ReadRequestHead(bufio.NewReader(conn))
 		if err == nil && body.Length() > 0 {
@@ -114,7 +116,7 @@
 	response := client.do("POST", "/unsafe/", "a", strings.Repeat("x", 200_000),
 		fmt.Sprintf("%s: %d", deadlineHeader, deadline.Milliseconds()))
 	took := time.Since(began)
-	if took > deadline+late || response.Status == 503 && took > deadline/4 {
+	if took > deadline+tolerance || response.Status == 503 && took > deadline/4 {
 		return false
 	}
 	rig.Assert(response.Status, qt.Equals, 504)
@@ -124,28 +126,28 @@
 	return true
 }
 
-// A server that does not read notices at once that its client has disconnected.
+// A server that does not read must notice at once that its client has disconnected.
 func TestClientDisconnectsFromAServerThatDoesNotRead(t *testing.T) {
 	t.Parallel()
-	came, gone := make(chan bool), make(chan bool)
+	received, disconnected := make(chan bool), make(chan bool)
 	server := newServerWithSmallBuffers(t, "i-1", func(conn net.Conn) {
 		if _, _, err := http1.ReadRequestHead(bufio.NewReader(conn)); err == nil {
-			close(came)
-			awaitHangUp(qt.New(t), conn, testTimeout/2) // without a reset it takes 15 s
-			close(gone)
+			close(received)
+			awaitHangUp(qt.New(t), conn, testTimeout/2) // without a reset it would take 15 s
+			close(disconnected)
 		}
 	})
 	rig := newRig(t, withUploads, server)
 	client := rig.dial()
 	client.send("POST", "/safe/", "a", strings.Repeat("x", 200_000))
-	<-came
+	<-received
 	client.Close()
-	<-gone
+	<-disconnected
 	rig.awaitCallsEnded()
 	rig.Assert(rig.chooser.outcomes(), qt.DeepEquals, []scheduler.Outcome{scheduler.Abandoned})
 }
 
-// awaitHangUp waits until the other side has ended the connection, of which nothing is read.
+// awaitHangUp waits until the peer has closed the connection, without reading from it.
 func awaitHangUp(c *qt.C, conn net.Conn, within time.Duration) {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	c.Check(err, qt.IsNil)
@@ -156,10 +158,10 @@
 	}), qt.IsNil)
 }
 
-func TestSmallRequestsFindDeadMachinesSoon(t *testing.T) {
+func TestUnackedTimeoutDependsOnBodySize(t *testing.T) {
 	c := qt.New(t)
-	pool, w, _ := newTestPool(t, 9)
-	conn, err := pool.get(context.Background(), w)
+	pool, spec, _ := newTestPool(t, 9)
+	conn, err := pool.get(context.Background(), spec)
 	c.Assert(err, qt.IsNil)
 	defer pool.discard(conn)
 	c.Assert(userTimeout(c, conn), qt.Equals, serverUnackedTimeout)
@@ -169,6 +171,7 @@
 	c.Assert(userTimeout(c, conn), qt.Equals, serverUnackedTimeout)
 }
 
+// userTimeout returns the TCP_USER_TIMEOUT of a connection.
 func userTimeout(c *qt.C, conn *connection) (timeout time.Duration) {
 	err := conn.raw.Control(func(fd uintptr) {
 		ms, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
