--- a/internal/router/dataplane/randomfaults_test.go
+++ b/internal/router/dataplane/randomfaults_test.go
@@ -242,7 +242,7 @@
 			wg.Wait()
 			rig.awaitCallsEnded()
 			rig.Assert(model.violations, qt.HasLen, 0)
-			t.Log("responses by status", results, "retries", model.retries(), "counts", rig.proxy.Stats())
+			t.Log("responses by status", results, "repeats", model.retries(), "counts", rig.proxy.Stats())
 			maxRetries := ratioFraction*0.2*clients*requests + 2*slackFraction*100
 			rig.Assert(float64(model.retries()) <= maxRetries, qt.IsTrue, qt.Commentf("%d retries", model.retries()))
 			served += results[200]
--- a/internal/router/dataplane/surplus_test.go
+++ b/internal/router/dataplane/surplus_test.go
@@ -22,7 +22,7 @@
 	for _, route := range []string{"safe", "unsafe", "stream", "firm"} {
 		for _, framing := range []framing{byLength, byChunks} {
 			for _, ownID := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, %s, ownID id %t", route, framing, ownID), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %s, own id %t", route, framing, ownID), func(t *testing.T) {
 					t.Parallel()
 					surplusAtEveryByte(t, route, framing, ownID)
 				})
