--- a/internal/router/dataplane/accept.go
+++ b/internal/router/dataplane/accept.go
@@ -25,7 +25,7 @@
 	}
 	// An accepted socket is connected already, so only the option has to be set. The connection works without
 	// it (see setUserTimeout), so an error is ignored.
-	_ = setUserTimeout(socket.raw, clientTimeout)
+	_ = setUserTimeout(socket.raw, clientUnackedTimeout)
 	client := &client{proxy: p, socket: socket}
 	if !p.addClient(client) {
 		conn.Close()
--- a/internal/router/dataplane/prefill.go
+++ b/internal/router/dataplane/prefill.go
@@ -39,7 +39,7 @@
 		rt.attempts.recordRejected()
 	case mayHaveRun:
 		rt.attempts.recordAccepted(scheduler.Prefill)
-		if !call.responseStarted { // the server may have queued the call, which makes the next one a retry
+		if !call.headReceived { // the server may have queued the call, which makes the next one a retry
 			rt.attempts.unpaidPrefills++
 		}
 		return failure.outcome != scheduler.TimedOut // too little time is left for a second prefill call
@@ -58,7 +58,7 @@
 		failure = c.receiveHandle(response)
 	}
 	if failure == nil || failure.outcome == scheduler.TimedOut {
-		c.roundTrip.proxy.prefillTimes.record(c.roundTrip.request.service.Name, time.Since(c.started))
+		c.roundTrip.proxy.prefillTimes.record(c.roundTrip.request.service.Name, time.Since(c.sendStarted))
 	}
 	return c.finish(failure)
 }
