--- a/internal/router/dataplane/fakechooser_test.go
+++ b/internal/router/dataplane/fakechooser_test.go
@@ -10,24 +10,23 @@
 	"cresshub/internal/router/scheduler"
 )
 
-// fakeChooser chooses the first server in the table that is not excluded, and records what is reported to
-// it. The lock of lockedChooser guards all but what tests read.
+// fakeChooser chooses the first server in the table that is not excluded, and records what is reported to it.
+// The lock of lockedChooser guards all fields except those that tests read, which mu guards.
 type fakeChooser struct {
-	mu            sync.Mutex
-	table         *catalog.Table
-	noSplit       bool
-	wait          time.Duration
-	open          map[*scheduler.Call]bool // calls in flight
-	outcomesEnded []scheduler.Outcome
-	unpaired      int // calls ended twice, or never begun
-	firstEvents   int
-	loads         []scheduler.Load
-	panics        atomic.Bool
-	// panicsInCalls has it panic while a call is in flight.
-	panicsInCalls atomic.Bool
+	mu                  sync.Mutex
+	table               *catalog.Table
+	noSplit             bool          // Split returns false
+	queueDelay          time.Duration // returned by QueueDelay
+	inFlight            map[*scheduler.Call]bool
+	endedOutcomes       []scheduler.Outcome // of the calls, in the order in which they ended
+	unmatchedDones      int                 // Done was called for a call that is not in flight
+	firstEvents         int                 // number of calls of FirstEvent
+	loads               []scheduler.Load
+	panicsInChoose      atomic.Bool // Choose panics, before the call begins
+	panicsInObserveLoad atomic.Bool // ObserveLoad panics, while a call is in flight
 }
 
-func newFakeChooser() *fakeChooser { return &fakeChooser{open: map[*scheduler.Call]bool{}} }
+func newFakeChooser() *fakeChooser { return &fakeChooser{inFlight: map[*scheduler.Call]bool{}} }
 
 func (f *fakeChooser) Update(_ time.Duration, table *catalog.Table) { f.table = table }
 
@@ -37,8 +36,8 @@
 
 func (f *fakeChooser) Choose(_ time.Duration, req *scheduler.Request, role scheduler.Role,
 	prefillServer *catalog.Server) *scheduler.Call {
-	if f.panics.Load() {
-		panic("a mistake")
+	if f.panicsInChoose.Load() {
+		panic("injected by the test")
 	}
 	stage := catalog.NoRole
 	if req.Service.Engine != nil {
@@ -54,11 +53,11 @@
 	call := &scheduler.Call{Server: server, Role: role}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.open[call] = true
+	f.inFlight[call] = true
 	return call
 }
 
-// first returns the first server that may be chosen.
+// first returns the first server of a role that is not excluded, nil if there is none.
 func (f *fakeChooser) first(req *scheduler.Request, role catalog.Role) *catalog.Server {
 	for _, s := range f.table.Service(req.Service.Name) {
 		if s.Role == role && !slices.Contains(req.Excluded, s.ID) {
@@ -69,8 +68,8 @@
 }
 
 func (f *fakeChooser) ObserveLoad(_ time.Duration, _ string, load scheduler.Load) {
-	if f.panicsInCalls.Load() {
-		panic("a mistake")
+	if f.panicsInObserveLoad.Load() {
+		panic("injected by the test")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,15 +89,15 @@
 func (f *fakeChooser) Done(_ time.Duration, call *scheduler.Call, outcome scheduler.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.open[call] {
-		f.unpaired++
+	if !f.inFlight[call] {
+		f.unmatchedDones++
 	}
-	delete(f.open, call)
-	f.outcomesEnded = append(f.outcomesEnded, outcome)
+	delete(f.inFlight, call)
+	f.endedOutcomes = append(f.endedOutcomes, outcome)
 }
 
 func (f *fakeChooser) QueueDelay(time.Duration, *scheduler.Request) scheduler.SlotDelay {
-	return scheduler.SlotDelay{Wait: f.wait, HasFreeSlot: f.wait == 0}
+	return scheduler.SlotDelay{Wait: f.queueDelay, HasFreeSlot: f.queueDelay == 0}
 }
 
 func (f *fakeChooser) Alternative(
@@ -108,28 +107,28 @@
 	for _, s := range f.table.Service(req.Service.Name) {
 		exists = exists || s.ID != serverID && s.Role != catalog.Prefill && !slices.Contains(req.Excluded, s.ID)
 	}
-	return scheduler.Alternative{Exists: exists, HasFreeSlot: exists && f.wait == 0}
+	return scheduler.Alternative{Exists: exists, HasFreeSlot: exists && f.queueDelay == 0}
 }
 
-// outcomes returns how the calls have ended, in their order.
+// outcomes returns the outcomes of the calls, in the order in which they ended.
 func (f *fakeChooser) outcomes() []scheduler.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.outcomesEnded)
+	return slices.Clone(f.endedOutcomes)
 }
 
-// begun is how many calls have begun so far.
-func (f *fakeChooser) begun() int {
+// callsBegun returns how many calls have begun so far.
+func (f *fakeChooser) callsBegun() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.open) + len(f.outcomesEnded) - f.unpaired
+	return len(f.inFlight) + len(f.endedOutcomes) - f.unmatchedDones
 }
 
-// paired reports whether each call has ended once.
-func (f *fakeChooser) paired() bool {
+// allCallsEndedOnce reports whether each call has ended exactly once.
+func (f *fakeChooser) allCallsEndedOnce() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.open) == 0 && f.unpaired == 0
+	return len(f.inFlight) == 0 && f.unmatchedDones == 0
 }
 
 func (f *fakeChooser) TakeInFlightLoads(scheduler.LoadScope) []scheduler.InFlightLoad { return nil }
