--- a/internal/cluster/raftgroup/calls.go
+++ b/internal/cluster/raftgroup/calls.go
@@ -31,7 +31,7 @@
 }
 
 // call runs start in the group's goroutine and waits for an outcome on the channel that start is given, which
-// takes one outcome without blocking; start may pass the channel on to who sends it. The error is ErrUnknown
+// takes one outcome without blocking; start may pass the channel on to who sends it. The error is ErrOutcomeUnknown
 // if ctx ended first. Call may be called from any goroutine but the group's.
 func (g *group) call(ctx context.Context, start func(out chan outcome)) (any, error) {
 	out := make(chan outcome, 1)
@@ -44,7 +44,7 @@
 	case <-g.done:
 		return nil, ErrStopped
 	case <-ctx.Done():
-		return nil, ErrUnknown
+		return nil, ErrOutcomeUnknown
 	}
 }
 
@@ -126,11 +126,11 @@
 	}
 }
 
-// failPending ends all calls that wait for an outcome: reads with an error, proposals with ErrUnknown, as
+// failPending ends all calls that wait for an outcome: reads with an error, proposals with ErrOutcomeUnknown, as
 // their entries may still be committed. Their results find nobody then.
 func (g *group) failPending(readErr error) {
 	for id, out := range g.proposals {
-		out <- outcome{err: ErrUnknown}
+		out <- outcome{err: ErrOutcomeUnknown}
 		delete(g.proposals, id)
 	}
 	for id, read := range g.pendingReads {
--- a/internal/cluster/raftgroup/calls_test.go
+++ b/internal/cluster/raftgroup/calls_test.go
@@ -23,7 +23,7 @@
 	g := &group{proposals: map[uint64]chan outcome{1: proposal},
 		pendingReads: map[uint64]pendingRead{2: {out: read}}}
 	g.failPending(ErrStopped)
-	if o := <-proposal; !errors.Is(o.err, ErrUnknown) {
+	if o := <-proposal; !errors.Is(o.err, ErrOutcomeUnknown) {
 		t.Errorf("the proposal ends with %v", o.err)
 	}
 	if o := <-read; !errors.Is(o.err, ErrStopped) {
--- a/internal/cluster/raftgroup/client.go
+++ b/internal/cluster/raftgroup/client.go
@@ -10,7 +10,7 @@
 )
 
 // Propose has a command committed by a group, wherever its leader is, and returns the state machine's result
-// as JSON. It does not retry a command whose outcome is unknown. After ErrUnknown the command may have been
+// as JSON. It does not retry a command whose outcome is unknown. After ErrOutcomeUnknown the command may have been
 // applied; any other error says that it was not and will not be. It may be called from any goroutine.
 func (h *Host) Propose(ctx context.Context, group string, data []byte) (json.RawMessage, error) {
 	return h.callAnyMember(ctx, request{Kind: kindPropose, Group: group, From: h.opts.Name, Data: data})
@@ -59,7 +59,7 @@
 			delete(attempted, resp.Leader)
 		}
 		switch {
-		case req.Kind == kindPropose && errors.Is(err, ErrUnknown):
+		case req.Kind == kindPropose && errors.Is(err, ErrOutcomeUnknown):
 			return nil, err
 		case !errors.Is(err, ErrNotLeader):
 			lastErr = err
@@ -131,7 +131,7 @@
 }
 
 // callMember has one member, which may be this one, answer a request. A failure on the way is ErrNotLeader
-// where the request was certainly not received, else ErrUnknown.
+// where the request was certainly not received, else ErrOutcomeUnknown.
 func (h *Host) callMember(ctx context.Context, name string, req request) (response, error) {
 	if name == h.opts.Name {
 		resp := h.handleRequest(ctx, req)
@@ -146,7 +146,7 @@
 		if errors.Is(err, errUnreachable) {
 			return resp, ErrNotLeader
 		}
-		return resp, ErrUnknown
+		return resp, ErrOutcomeUnknown
 	}
 	return resp, resp.err()
 }
--- a/internal/cluster/raftgroup/frames.go
+++ b/internal/cluster/raftgroup/frames.go
@@ -74,7 +74,7 @@
 	if r.Err == "" {
 		return nil
 	}
-	for _, known := range []error{ErrNotLeader, ErrForming, ErrUnknown, ErrBusy, ErrStopped} {
+	for _, known := range []error{ErrNotLeader, ErrForming, ErrOutcomeUnknown, ErrBusy, ErrStopped} {
 		if r.Err == known.Error() {
 			return known
 		}
--- a/internal/cluster/raftgroup/golden_test.go
+++ b/internal/cluster/raftgroup/golden_test.go
@@ -153,7 +153,7 @@
 // Errors cross as their text and are known by it.
 func TestGoldenErrorsAreReadAndWrittenByteForByte(t *testing.T) {
 	var texts []string
-	for _, e := range []error{ErrNotLeader, ErrForming, ErrUnknown, ErrBusy, ErrStopped, ErrDisk, errGroupExists,
+	for _, e := range []error{ErrNotLeader, ErrForming, ErrOutcomeUnknown, ErrBusy, ErrStopped, ErrDisk, errGroupExists,
 		errNotFirstRanked, errAlreadyVoted} {
 		texts = append(texts, e.Error())
 	}
@@ -222,7 +222,7 @@
 	g.lastRequestID = 0x0102030405060707
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // nobody waits for the outcome
-	if _, err := g.propose(ctx, []byte("17")); !errors.Is(err, ErrUnknown) {
+	if _, err := g.propose(ctx, []byte("17")); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Fatal(err)
 	}
 	(<-g.tasks)()
--- a/internal/cluster/raftgroup/group.go
+++ b/internal/cluster/raftgroup/group.go
@@ -26,16 +26,16 @@
 	Restore([]byte) error
 }
 
-// The errors of a call on a group. After ErrUnknown a proposal may have been applied, and is proposed again
+// The errors of a call on a group. After ErrOutcomeUnknown a proposal may have been applied, and is proposed again
 // under the same id; after any other error it has not been applied and will not be. Members send these errors
 // to each other by their texts.
 var (
-	ErrNotLeader = errors.New("this replica does not lead the group")
-	ErrForming   = errors.New("the group has fewer than three voters yet, and promises nothing")
-	ErrDisk      = errors.New("the disk does not take what is written")
-	ErrUnknown   = errors.New("the outcome is not known")
-	ErrBusy      = errors.New("too much is under way")
-	ErrStopped   = errors.New("the group has stopped")
+	ErrNotLeader      = errors.New("this replica does not lead the group")
+	ErrForming        = errors.New("the group has fewer than three voters yet, and promises nothing")
+	ErrDisk           = errors.New("the disk does not take what is written")
+	ErrOutcomeUnknown = errors.New("the outcome is not known")
+	ErrBusy           = errors.New("too much is under way")
+	ErrStopped        = errors.New("the group has stopped")
 )
 
 // minVoters is how many voters a group needs to accept proposals: with fewer, the loss of one machine could
--- a/internal/cluster/raftgroup/host_test.go
+++ b/internal/cluster/raftgroup/host_test.go
@@ -200,7 +200,7 @@
 				t.Errorf("command %d was applied %s times as its proposer was told", id, result)
 			}
 			return
-		case errors.Is(err, ErrUnknown):
+		case errors.Is(err, ErrOutcomeUnknown):
 			l.fates[id] = fateUnknown
 		default:
 			l.fates[id] = fateRejected
--- a/internal/cluster/raftgroup/ready.go
+++ b/internal/cluster/raftgroup/ready.go
@@ -122,7 +122,7 @@
 	g.log.Error("ledger: disk write failed; the replica acknowledges nothing until writes succeed",
 		"file", g.host.store.path, "err", err)
 	g.diskErr = fmt.Errorf("%w: %w", ErrDisk, err)
-	g.failPending(ErrUnknown)
+	g.failPending(ErrOutcomeUnknown)
 }
 
 // waitForDisk waits before a write is attempted again: calls are rejected, messages dropped. False where the
@@ -148,7 +148,7 @@
 	status := g.rawNode.BasicStatus()
 	isLeader := status.RaftState == raft.StateLeader
 	if g.isLeader && !isLeader {
-		g.failPending(ErrUnknown)
+		g.failPending(ErrOutcomeUnknown)
 	}
 	g.isLeader = isLeader
 	if status.Lead == g.lead {
--- a/internal/proxy/daemon/ledgerpage.go
+++ b/internal/proxy/daemon/ledgerpage.go
@@ -69,7 +69,7 @@
 	defer cancel()
 	result, err := l.propose(ctx, correction.Encode())
 	switch {
-	case errors.Is(err, raftgroup.ErrUnknown):
+	case errors.Is(err, raftgroup.ErrOutcomeUnknown):
 		return CorrectionReply{result, "whether it was entered is not known; call again with the same id"}
 	case err != nil:
 		return CorrectionReply{result, err.Error()}
