--- a/internal/cluster/raftgroup/golden_test.go
+++ b/internal/cluster/raftgroup/golden_test.go
@@ -165,7 +165,7 @@
 	goldenfile.CheckJSON(t, "status.json", Status{Group: "ledger", Role: "leader", Leader: "odori-1", Term: 1,
 		Commit: 2, Applied: 3, Snapshot: 4, LogBytes: 5, Voters: []string{"odori-1", "susukino-2"},
 		Learners: []string{"maruyama-3"}, Replicas: []ReplicaStatus{{Member: "susukino-2",
-			Disk: formatDiskID(goldenID), Learner: true, Behind: 6, Active: true}},
+			Disk: formatDiskID(goldenID), Learner: true, LagEntries: 6, Active: true}},
 		Disk: formatDiskID(2), Leaderless: true, Stalled: "no space",
 		Stats: GroupStats{Elections: 11, Snapshots: 12, Restored: 13, ConfChanges: 14, Proposed: 15,
 			Rejected: 16, DiskErrors: 17, SlowSyncs: 18}})
--- a/internal/cluster/raftgroup/status.go
+++ b/internal/cluster/raftgroup/status.go
@@ -31,11 +31,11 @@
 
 // ReplicaStatus is what a leader knows of one replica.
 type ReplicaStatus struct {
-	Member  string `json:"member"`
-	Disk    string `json:"disk"` // replica ID
-	Learner bool   `json:"learner,omitempty"`
-	Behind  uint64 `json:"behind"` // log entries not known to be on its disk
-	Active  bool   `json:"active"` // it answered lately
+	Member     string `json:"member"`
+	Disk       string `json:"disk"` // replica ID
+	Learner    bool   `json:"learner,omitempty"`
+	LagEntries uint64 `json:"behind"` // log entries not known to be on its disk
+	Active     bool   `json:"active"` // it answered lately
 }
 
 // Role is what this member's replica is in its group, as pages and JSON name it.
@@ -111,11 +111,11 @@
 	last, _ := g.storage.LastIndex() // never fails in memory
 	for id, progress := range raftStatus.Progress {
 		replicas = append(replicas, ReplicaStatus{
-			Member:  g.memberNames[id],
-			Disk:    formatDiskID(id),
-			Learner: progress.IsLearner,
-			Behind:  last - min(progress.Match, last),
-			Active:  progress.RecentActive || id == g.host.store.id,
+			Member:     g.memberNames[id],
+			Disk:       formatDiskID(id),
+			Learner:    progress.IsLearner,
+			LagEntries: last - min(progress.Match, last),
+			Active:     progress.RecentActive || id == g.host.store.id,
 		})
 	}
 	slices.SortFunc(replicas, func(a, b ReplicaStatus) int {
--- a/internal/testbed/clusterrig/ledger_faults_test.go
+++ b/internal/testbed/clusterrig/ledger_faults_test.go
@@ -127,7 +127,7 @@
 		var own daemon.LedgerPage
 		member := rig.Member(v.Member)
 		if member == nil || member.State() != Up || member.GetJSON("/_ledger?period=1&tenant=-", &own) != nil ||
-			own.Group.Disk != v.Disk || v.Learner || v.Behind > 50 {
+			own.Group.Disk != v.Disk || v.Learner || v.LagEntries > 50 {
 			return fmt.Errorf("%+v, its member has disk %s", v, own.Group.Disk)
 		}
 	}
--- a/internal/testbed/clusterrig/measure.go
+++ b/internal/testbed/clusterrig/measure.go
@@ -281,7 +281,7 @@
 func (m *measurement) isCaughtUp(replica *raftgroup.ReplicaStatus) bool {
 	member := m.members[replica.Member]
 	return member != nil && member.host.Status(measureGroup).Disk == replica.Disk && !replica.Learner &&
-		replica.Behind <= maxLearnerLag
+		replica.LagEntries <= maxLearnerLag
 }
 
 // Print writes the result as a table.
