--- a/internal/cluster/boltfile/boltfile.go
+++ b/internal/cluster/boltfile/boltfile.go
@@ -1,5 +1,5 @@
-// Package boltfile opens bbolt files, each of which one process at a time uses. Its functions may be called
-// from any goroutine.
+// Package boltfile opens bbolt files, each of which only one process at a time may use. Its functions may be
+// called from any goroutine.
 package boltfile
 
 import (
@@ -12,19 +12,21 @@
 )
 
 // LockTimeout is how long Open waits for another process's lock on the file. The kernel may release the lock
-// of a killed process after its parent has been notified of its end: the file is mapped into memory, and the
-// mapping goes with the last reference to it. With writers that were syncing it took up to 0.3 s on a machine
-// with four runnable processes a core, and more than a second was seen once.
+// of a killed process only after the parent was notified of the process's end, because the file is mapped
+// into memory and the mapping lasts until its last reference is dropped. When the killed writers were
+// syncing, this took up to 0.3 s on a machine with four runnable processes per core, and was once seen to
+// take more than a second.
 const LockTimeout = 10 * time.Second
 
-// fileMode lets only the user of the process read a file that Open makes.
+// fileMode gives access to the files that Open creates only to the user of the process.
 const fileMode = 0o600
 
-// ErrLocked is the cause in an error of Open when another process has the file open.
+// ErrLocked is the cause of Open's error when another process has the file open.
 var ErrLocked = errors.New("is held by another process")
 
-// Open opens a file, and makes it where it is missing unless options say that it is only read. The timeout
-// in options is replaced by LockTimeout. An error with the cause ErrLocked names the file.
+// Open opens a bbolt file and creates it if it is missing, unless options ask for read-only access. It
+// replaces the timeout in options by LockTimeout. If the cause of an error is ErrLocked, the error names the
+// file.
 func Open(path string, options bolt.Options) (*bolt.DB, error) {
 	options.Timeout = LockTimeout
 	db, err := bolt.Open(path, fileMode, &options)
--- a/internal/cluster/boltfile/boltfile_test.go
+++ b/internal/cluster/boltfile/boltfile_test.go
@@ -10,8 +10,9 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// TestOpenWaitsForTheLockOfAKilledProcess: the kernel releases the lock some time after the process ended. A
-// start that gave up after a second failed in TestLedgerSurvivesKills on a busy machine.
+// TestOpenWaitsForTheLockOfAKilledProcess guards against a lock timeout that is too short: the kernel
+// releases the lock some time after the process ended. With a timeout of one second, a start failed in
+// TestLedgerSurvivesKills on a busy machine.
 func TestOpenWaitsForTheLockOfAKilledProcess(t *testing.T) {
 	for _, readOnly := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -31,7 +32,7 @@
 	}
 }
 
-// TestOpenFailsWhileAnotherProcessRuns: the error names the file and the cause.
+// TestOpenFailsWhileAnotherProcessRuns checks that the error names the file and the cause.
 func TestOpenFailsWhileAnotherProcessRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
