--- a/internal/cluster/logcodec/logcodec.go
+++ b/internal/cluster/logcodec/logcodec.go
@@ -1,7 +1,7 @@
-// Package logcodec is the encoding of commands and snapshots in the logs of Raft groups: msgpack, with
-// structs as arrays in the order of their fields. The bytes are stored, so that a field of an encoded struct
-// is never moved or removed, and one that is added comes last. It is pure, and its functions may be called
-// from any goroutine.
+// Package logcodec encodes the commands and snapshots in the logs of Raft groups. The encoding is msgpack,
+// with structs as arrays of their fields in declaration order. The bytes are stored, so a field of an encoded
+// struct must never be moved or removed, and a new field must be added last. Its functions have no side
+// effects and may be called from any goroutine.
 package logcodec
 
 import "github.com/hashicorp/go-msgpack/v2/codec"
@@ -18,24 +18,26 @@
 	return handle
 }
 
-// EncodeCommand returns a command as it stands in a log: a byte for its kind, then its encoding.
+// EncodeCommand encodes a command as it is stored in a log: a byte for its kind, then its msgpack encoding.
 func EncodeCommand(kind byte, command any) []byte {
 	return append([]byte{kind}, Encode(command)...)
 }
 
-// DecodeCommand decodes a command that EncodeCommand has encoded into what into points to. It does not look
-// at the kind. data must not be empty.
+// DecodeCommand decodes a command encoded by EncodeCommand into the value that into points to. It ignores the
+// kind. data must not be empty.
 func DecodeCommand(data []byte, into any) error { return Decode(data[1:], into) }
 
-// Encode encodes a value. Maps in it come in no order, see EncodeCanonical. It panics on a value that has no
-// encoding, such as a channel: whether it does depends on the type alone, so that no input leads there.
+// Encode encodes a value. The order of map keys is unspecified; see EncodeCanonical. It panics on a value
+// that can't be encoded, such as a channel. That depends only on the value's type, so that no input can cause
+// it.
 func Encode(value any) []byte { return encode(plainHandle, value) }
 
-// EncodeCanonical is Encode with the keys of maps sorted, so that equal values give equal bytes.
+// EncodeCanonical encodes a value like Encode but with map keys sorted, so that equal values give equal
+// bytes.
 func EncodeCanonical(value any) []byte { return encode(canonicalHandle, value) }
 
-// Decode decodes what Encode or EncodeCanonical has encoded into what into points to. After an error, into
-// may have been changed in part.
+// Decode decodes the output of Encode or EncodeCanonical into the value that into points to. After an error,
+// that value may have been changed in part.
 func Decode(data []byte, into any) error {
 	return codec.NewDecoderBytes(data, plainHandle).Decode(into)
 }
--- a/internal/cluster/logcodec/logcodec_test.go
+++ b/internal/cluster/logcodec/logcodec_test.go
@@ -40,8 +40,8 @@
 		value[string(key)] = int(key)
 	}
 	first := EncodeCanonical(value)
-	if first[0] != 0xde || first[4] != 'a' { // a map of 16 bits' length, then a string of one byte
-		t.Errorf("begins with %x, not with the first key", first[:5])
+	if first[0] != 0xde || first[4] != 'a' { // map with a 16-bit length, then a one-byte string
+		t.Errorf("begins with %x, not with the smallest key", first[:5])
 	}
 	for range 20 {
 		if again := EncodeCanonical(value); !bytes.Equal(first, again) {
