--- a/internal/cluster/raftgroup/apply.go
+++ b/internal/cluster/raftgroup/apply.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// applyCommand applies an entry with a command and, where this replica proposed it, answers the call that
-// waits for the result.
+// applyCommand applies an entry that holds a command. If this replica proposed it, the waiting call receives
+// the result.
 func (g *group) applyCommand(entry *raftpb.Entry) {
 	g.appliedIndex = entry.GetIndex()
 	data := entry.GetData()
@@ -37,18 +37,20 @@
 	}
 }
 
-// applyConfChange applies a membership change, whose context is the member's name.
+// applyConfChange applies a membership change. The change's context is the name of the member that it
+// concerns.
 func (g *group) applyConfChange(entry *raftpb.Entry) {
 	change := &raftpb.ConfChange{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		panic(err) // stops this replica (run): the others applied the entry
+		panic(err) // stops this replica (run), as the others have applied the entry
 	}
-	// In ApplyConfChange raft may ask for a snapshot for a replica that is far behind. It gets the state before
-	// this change, at the index before it: a replica restored from a snapshot at this index that did not list
-	// the change would count another majority than the rest, for good.
+	// During ApplyConfChange raft may ask for a snapshot for a replica that lags far behind. appliedIndex is
+	// updated after it, so that this snapshot holds the state and the index before the change. A replica
+	// restored from a snapshot at the index of the change that did not include the change would compute a
+	// different majority than the others, permanently.
 	g.confState = g.rawNode.ApplyConfChange(change)
 	g.appliedIndex = entry.GetIndex()
-	g.confChangeProposed = time.Time{}
+	g.confChangeProposedAt = time.Time{}
 	g.stats.ConfChanges++
 	if change.GetType() == raftpb.ConfChangeRemoveNode {
 		delete(g.memberNames, change.GetNodeId())
@@ -61,7 +63,7 @@
 		"learners", g.namesOf(g.confState.GetLearners()))
 }
 
-// namesOf are the members of the given replica IDs.
+// namesOf returns the names of the members that have the given replica IDs.
 func (g *group) namesOf(ids []uint64) []string {
 	names := make([]string, 0, len(ids))
 	for _, id := range ids {
--- a/internal/cluster/raftgroup/bootstrap.go
+++ b/internal/cluster/raftgroup/bootstrap.go
@@ -8,22 +8,22 @@
 	"cresshub/internal/cluster/placement"
 )
 
-// bootstrapVotePrefix begins the key under which the store has the vote for a group, before the group's name.
-// The value is the candidate's replica ID, as formatDiskID writes it.
+// bootstrapVotePrefix, followed by the name of a group, is the key under which the store keeps this member's
+// vote for the group. The value is the candidate's replica ID as formatted by formatDiskID.
 const bootstrapVotePrefix = "vote/"
 
-// Why a vote to bootstrap a group is denied. They cross between members as their texts.
+// Reasons to deny a vote to bootstrap a group. Members send each other their texts.
 var (
 	errGroupExists    = errors.New("the group is there already")
 	errAlreadyVoted   = errors.New("another member has the vote to found the group")
 	errNotFirstRanked = errors.New("the candidate is not first in this member's view")
 )
 
-// bootstrap makes a group that no member has. Only the live member that ranks first for the group does, and
-// only with the votes of a majority of all known members (of BootstrapExpect, if those are more). A vote is
-// stored and never given to another candidate, so that a group is bootstrapped only once in a fleet. The
-// group begins with this replica, grows from it, and accepts no proposals until it has minVoters. Called by
-// maintainGroups.
+// bootstrap creates a group that no member has a replica of. Only the live member that ranks first for the
+// group does so, and only with the votes of a majority of all known members (or of BootstrapExpect members,
+// if that is more). A vote is stored and never given to another candidate, so that a group is bootstrapped
+// only once in a fleet. The group begins with this replica as its only one and accepts no proposals until it
+// has minVoters. Called by maintainGroups.
 func (h *Host) bootstrap(name string) {
 	h.mu.Lock()
 	peers, exists := slices.Clone(h.peers), h.groups[name] != nil
@@ -46,8 +46,8 @@
 	h.log.Info("ledger: group bootstrapped", "group", name, "votes", votes)
 }
 
-// collectBootstrapVotes requests the votes of live members, this one among them, and returns how many voted.
-// The error is errGroupExists if one of them has the group.
+// collectBootstrapVotes requests the votes of the live members, including this one, and returns the number of
+// votes granted. The error is errGroupExists if one of them has a replica of the group.
 func (h *Host) collectBootstrapVotes(name string, live []Peer) (int, error) {
 	votes := 0
 	for _, peer := range live {
@@ -73,8 +73,9 @@
 	return resp, err
 }
 
-// handleBootstrapVote answers a member that asks for this one's vote: nil for the vote, which is on the
-// synced disk by then, else why it is denied. A candidate that asks again gets the same vote again.
+// handleBootstrapVote handles a member's request for this member's vote. It returns nil if the vote is
+// granted, which is on the synced disk by then, or else the reason why it is denied. A candidate that asks
+// again is granted the same vote again.
 func (h *Host) handleBootstrapVote(req request) error {
 	h.mu.Lock()
 	live, exists := livePeers(h.peers), h.groups[req.Group] != nil
@@ -95,14 +96,14 @@
 	return errAlreadyVoted
 }
 
-// livePeers are the peers that take part now and can have replicas.
+// livePeers returns the peers that are live and can have replicas.
 func livePeers(peers []Peer) []Peer {
 	return slices.DeleteFunc(slices.Clone(peers), func(peer Peer) bool {
 		return !peer.Live || peer.ReplicaID == 0 || peer.Address == ""
 	})
 }
 
-// firstRanked is the live member that ranks first for a group; "" if none is live.
+// firstRanked returns the name of the live member that ranks first for a group, or "" if none is live.
 func firstRanked(group string, live []Peer) string {
 	ranked := make([]placement.Member, 0, len(live))
 	for _, peer := range live {
--- a/internal/cluster/raftgroup/calls.go
+++ b/internal/cluster/raftgroup/calls.go
@@ -9,13 +9,12 @@
 	"go.etcd.io/raft/v3"
 )
 
-// maxPendingCalls bounds the tasks that wait for a group's goroutine, and the reads that wait for their
+// maxPendingCalls bounds the tasks queued for a group's goroutine, and the reads that wait for their read
 // index.
 const maxPendingCalls = 1024
 
-// enqueue has a task run in the group's goroutine, as soon as it gets to it; a group that stops first never
-// runs it. It returns ErrStopped or ErrBusy, at once, if the task will not run. It may be called from any
-// goroutine.
+// enqueue queues a task for the group's goroutine; if the group stops first, the task never runs. It returns
+// ErrStopped or ErrBusy immediately if the task can't be queued. It may be called from any goroutine.
 func (g *group) enqueue(task func()) error {
 	select {
 	case <-g.done:
@@ -30,9 +29,10 @@
 	}
 }
 
-// call runs start in the group's goroutine and waits for an outcome on the channel that start is given, which
-// takes one outcome without blocking; start may pass the channel on to who sends it. The error is ErrOutcomeUnknown
-// if ctx ended first. Call may be called from any goroutine but the group's.
+// call runs start in the group's goroutine and waits for an outcome on the channel that start receives. The
+// channel has room for one outcome, so that sending it does not block; start may pass the channel on to the
+// code that will send the outcome. The error is ErrOutcomeUnknown if ctx ends first. call may be called from
+// any goroutine but the group's.
 func (g *group) call(ctx context.Context, start func(out chan outcome)) (any, error) {
 	out := make(chan outcome, 1)
 	if err := g.enqueue(func() { start(out) }); err != nil {
@@ -48,13 +48,13 @@
 	}
 }
 
-// proposalHeaderSize is the size of the header before a logged command: the ID of the replica that proposed
-// it and that replica's request ID, 8 bytes each, big endian. By them the proposer finds the call that waits
-// for the result.
+// proposalHeaderSize is the size in bytes of the header before a command in the log: the ID of the replica
+// that proposed it and that replica's request ID, 8 bytes each, big endian. By these IDs the proposer finds
+// the call that waits for the result.
 const proposalHeaderSize = 16
 
-// propose has a command committed and applied, and returns the state machine's result. This replica has to be
-// the leader: it returns ErrNotLeader elsewhere, and forwards nothing.
+// propose has a command committed and applied, and returns the state machine's result. If this replica is not
+// the leader, it returns ErrNotLeader; it does not forward the command.
 func (g *group) propose(ctx context.Context, data []byte) (any, error) {
 	return g.call(ctx, func(out chan outcome) {
 		if err := g.startProposal(data, out); err != nil {
@@ -64,8 +64,8 @@
 	})
 }
 
-// startProposal proposes a command to raft. Without an error the outcome follows on out, once the command is
-// applied (applyEntry) or its outcome can't be known any more (failPending).
+// startProposal proposes a command to raft. If it returns nil, the outcome is sent on out once the command is
+// applied (applyCommand) or its outcome can no longer be known (failPending).
 func (g *group) startProposal(data []byte, out chan outcome) error {
 	switch status := g.rawNode.BasicStatus(); {
 	case g.diskErr != nil:
@@ -73,7 +73,7 @@
 	case status.RaftState != raft.StateLeader:
 		return ErrNotLeader
 	case len(g.confState.GetVoters()) < minVoters:
-		return ErrForming
+		return ErrTooFewVoters
 	}
 	g.lastRequestID++
 	err := g.rawNode.Propose(encodeProposal(g.host.store.id, g.lastRequestID, data))
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// encodeProposal returns a command behind its header, as it stands in the log.
+// encodeProposal returns the log entry's data for a command: the header, then the command.
 func encodeProposal(replicaID, requestID uint64, command []byte) []byte {
 	entry := make([]byte, 0, proposalHeaderSize+len(command))
 	entry = binary.BigEndian.AppendUint64(entry, replicaID)
@@ -96,9 +96,9 @@
 	return append(entry, command...)
 }
 
-// readIndex answers a query from a state with everything that was committed when it was asked (ReadIndex,
-// section 6.4 of Ongaro's thesis). Any replica may be asked: raft forwards a follower's ReadIndex to the
-// leader. Where that is lost, the call ends with ctx.
+// readIndex answers a query from a state that includes everything committed when the query arrived
+// (ReadIndex, section 6.4 of Ongaro's thesis). Any replica can do this: raft forwards a follower's ReadIndex
+// request to the leader. If that request is lost, the call ends when ctx does.
 func (g *group) readIndex(ctx context.Context, query []byte) (any, error) {
 	return g.call(ctx, func(out chan outcome) {
 		if g.diskErr != nil {
@@ -115,7 +115,7 @@
 	})
 }
 
-// serveReads answers the reads whose index is confirmed and applied, in no order.
+// serveReads answers the reads whose index is confirmed and applied, in any order.
 func (g *group) serveReads() {
 	for id, read := range g.pendingReads {
 		if read.index > 0 && g.appliedIndex >= read.index {
@@ -126,8 +126,8 @@
 	}
 }
 
-// failPending ends all calls that wait for an outcome: reads with an error, proposals with ErrOutcomeUnknown, as
-// their entries may still be committed. Their results find nobody then.
+// failPending ends all calls that wait for an outcome: reads with readErr, proposals with ErrOutcomeUnknown,
+// as their entries may still be committed. Results of such entries are then discarded.
 func (g *group) failPending(readErr error) {
 	for id, out := range g.proposals {
 		out <- outcome{err: ErrOutcomeUnknown}
@@ -139,9 +139,9 @@
 	}
 }
 
-// leaderless reports whether this replica neither leads nor receives messages of a leader. Raft alone
-// doesn't say so of a learner, nor of a replica that was removed while it was unreachable: both go on to
-// name the last leader they knew.
+// leaderless reports whether this replica neither leads nor receives messages from a leader. Raft's own
+// status does not show this for a learner or for a replica that was removed while it was unreachable: both
+// keep naming the last leader that they knew.
 func (g *group) leaderless() bool {
 	status := g.rawNode.BasicStatus()
 	overdue := time.Since(g.lastLeaderContact) > 2*g.host.opts.ElectionTimeout
--- a/internal/cluster/raftgroup/client.go
+++ b/internal/cluster/raftgroup/client.go
@@ -9,19 +9,20 @@
 	"cresshub/internal/cluster/placement"
 )
 
-// Propose has a command committed by a group, wherever its leader is, and returns the state machine's result
-// as JSON. It does not retry a command whose outcome is unknown. After ErrOutcomeUnknown the command may have been
-// applied; any other error says that it was not and will not be. It may be called from any goroutine.
+// Propose has a command committed by a group, whichever member leads it, and returns the state machine's
+// result as JSON. It does not retry a command whose outcome is unknown. After ErrOutcomeUnknown the command
+// may have been applied; after any other error it has not been applied and will not be. It may be called from
+// any goroutine.
 func (h *Host) Propose(ctx context.Context, group string, data []byte) (json.RawMessage, error) {
 	return h.callAnyMember(ctx, request{Kind: kindPropose, Group: group, From: h.opts.Name, Data: data})
 }
 
-// Read answers a query linearizably: from a state with everything that was committed when the call began. A
-// replica on this member is asked first, then the others. The result is JSON. It may be called from any
-// goroutine.
+// Read answers a query linearizably: from a state that includes everything committed when the call began. If
+// this member has a replica, that is asked first, then the other members. The result is JSON. It may be
+// called from any goroutine.
 func (h *Host) Read(ctx context.Context, group string, query []byte) (json.RawMessage, error) {
 	if g := h.group(group); g != nil {
-		// A ReadIndex message to the leader may get lost.
+		// The timeout covers a ReadIndex message to the leader that is lost.
 		localCtx, cancel := context.WithTimeout(ctx, h.opts.ElectionTimeout/2)
 		result, err := g.readIndex(localCtx, query)
 		cancel()
@@ -35,14 +36,15 @@
 	return h.callAnyMember(ctx, request{Kind: kindRead, Group: group, From: h.opts.Name, Data: query})
 }
 
-// callAnyMember sends a request to one member after the other until one answers it: to the leader as last
-// hinted, else to the next candidate. A member is asked again only where another one names it as leader. A
-// proposal goes to no further member once its outcome is unknown, as it might be applied twice.
+// callAnyMember sends a request to one member after another until one answers it: to the hinted leader,
+// otherwise to the next candidate. A member is asked a second time only if another one names it as the
+// leader. Once the outcome of a proposal is unknown, no further member is asked, as the command might be
+// applied twice.
 func (h *Host) callAnyMember(ctx context.Context, req request) (json.RawMessage, error) {
 	lastErr := ErrNotLeader
 	candidates := h.candidates(req.Group)
 	attempted := map[string]bool{}
-	maxAttempts := 2*len(candidates) + 2 // members may go on naming each other
+	maxAttempts := 2*len(candidates) + 2 // as members may keep naming each other as the leader
 	for attempt := 0; attempt < maxAttempts && ctx.Err() == nil; attempt++ {
 		name := nextCandidate(h.leaderHint(req.Group), candidates, attempted)
 		if name == "" {
@@ -71,7 +73,8 @@
 	return nil, lastErr
 }
 
-// nextCandidate is the hinted leader, else the first candidate, that was not attempted; "" if all were.
+// nextCandidate returns the hinted leader if it was not attempted, else the first candidate that was not, or
+// "" if all were.
 func nextCandidate(hint string, candidates []string, attempted map[string]bool) string {
 	if hint != "" && !attempted[hint] {
 		return hint
@@ -84,8 +87,8 @@
 	return ""
 }
 
-// attempt sends a request to one member. Requests other than proposals are idempotent: a member that does not
-// answer one within half an election timeout is given up for the next.
+// attempt sends a request to one member. Requests other than proposals are idempotent and have a timeout of
+// half an election timeout for each member, so that the next one can be asked.
 func (h *Host) attempt(ctx context.Context, name string, req request) (response, error) {
 	if req.Kind != kindPropose {
 		var cancel context.CancelFunc
@@ -95,7 +98,7 @@
 	return h.callMember(ctx, name, req)
 }
 
-// candidates are the members to ask about a group, the likeliest to have a replica first.
+// candidates returns the members to ask about a group, those most likely to have a replica first.
 func (h *Host) candidates(group string) []string {
 	h.mu.Lock()
 	live := livePeers(h.peers)
@@ -117,7 +120,7 @@
 	return names
 }
 
-// leaderHint is the member that last led a group as far as this one knows; "" if it doesn't.
+// leaderHint returns the member that last led a group as far as this one knows, or "" if it knows none.
 func (h *Host) leaderHint(group string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -130,8 +133,8 @@
 	h.leaderHints[group] = name
 }
 
-// callMember has one member, which may be this one, answer a request. A failure on the way is ErrNotLeader
-// where the request was certainly not received, else ErrOutcomeUnknown.
+// callMember sends a request to one member, which may be this one. A network failure is returned as
+// ErrNotLeader if the member certainly did not receive the request, and otherwise as ErrOutcomeUnknown.
 func (h *Host) callMember(ctx context.Context, name string, req request) (response, error) {
 	if name == h.opts.Name {
 		resp := h.handleRequest(ctx, req)
@@ -151,7 +154,8 @@
 	return resp, resp.err()
 }
 
-// addressOf is where a member of the view listens; "" if it is not in the view or doesn't listen.
+// addressOf returns the host:port of a member of the view, or "" if the member is not in the view or has no
+// Host.
 func (h *Host) addressOf(name string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/cluster/raftgroup/delivery.go
+++ b/internal/cluster/raftgroup/delivery.go
@@ -6,9 +6,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// deliver hands an inbound Raft message to its group; called by the goroutine of the connection that it came
-// on. A message to another replica ID, such as one on a disk that this member lost, is dropped. A leader's
-// message opens a replica that the leader has just added.
+// deliver passes an inbound Raft message to its group; it is called by the goroutine of the connection that
+// the message came in on. A message for another replica ID, such as that of a disk that this member lost, is
+// dropped. If this member has no replica of the group, a message from the group's leader opens one, as the
+// leader has just added it.
 func (h *Host) deliver(name string, msg *raftpb.Message) {
 	g := h.group(name)
 	if g == nil {
@@ -27,7 +28,7 @@
 	g.post(msg)
 }
 
-// isFromLeader reports whether only a leader sends messages of this one's type.
+// isFromLeader reports whether a message is of a type that only leaders send.
 func isFromLeader(msg *raftpb.Message) bool {
 	switch msg.GetType() {
 	case raftpb.MsgApp, raftpb.MsgSnap, raftpb.MsgHeartbeat:
@@ -36,8 +37,8 @@
 	return false
 }
 
-// post puts a message into the group's inbox, or drops it where that is full: raft sends it again. It never
-// blocks and may be called from any goroutine.
+// post puts a message into the group's inbox, or drops it if the inbox is full, as raft sends it again. It
+// never blocks and may be called from any goroutine.
 func (g *group) post(msg *raftpb.Message) {
 	select {
 	case g.inbox <- msg:
@@ -45,8 +46,8 @@
 	}
 }
 
-// send hands a group's messages to the network, in order, and reports those that it does not take. It is
-// called by the group's goroutine.
+// send passes a group's messages to the network, in order, and reports to the group those that the network
+// does not accept. It is called by the group's goroutine.
 func (h *Host) send(name string, msgs []*raftpb.Message) {
 	for _, msg := range msgs {
 		if !h.net.send(name, msg) {
@@ -55,9 +56,9 @@
 	}
 }
 
-// reportUndelivered reports to a group that a message was not sent: raft's ReportUnreachable, or for a
-// snapshot ReportSnapshot with a failure. The report goes through the group's inbox as a message from the
-// replica that was not reached (group.step).
+// reportUndelivered reports to a group that a message was not sent, for raft's ReportUnreachable, or if the
+// message held a snapshot, for ReportSnapshot with a failure. The report goes through the group's inbox as a
+// message from the replica that was not reached (group.step).
 func (h *Host) reportUndelivered(name string, msg *raftpb.Message) {
 	g := h.group(name)
 	if g == nil {
@@ -72,8 +73,8 @@
 	g.post(&raftpb.Message{Type: &kind, From: &to, Reject: &rejected})
 }
 
-// reportSnapshotFinish reports to a group that a snapshot was written completely: raft's ReportSnapshot, in
-// the way of reportUndelivered.
+// reportSnapshotFinish reports to a group that a snapshot was written completely, for raft's ReportSnapshot,
+// in the same way as reportUndelivered.
 func (h *Host) reportSnapshotFinish(name string, to uint64) {
 	if g := h.group(name); g != nil {
 		kind := raftpb.MsgSnapStatus
--- a/internal/cluster/raftgroup/diskfaults.go
+++ b/internal/cluster/raftgroup/diskfaults.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// DiskFaults injects faults of the disk, for tests and the laboratory. A nil one injects none.
+// DiskFaults injects disk faults, for tests and the lab. A nil DiskFaults injects none.
 type DiskFaults interface {
-	// Sync is called before a transaction is written and synced: it may sleep, or return an error such as
-	// ENOSPC, with which the write fails.
+	// Sync is called before a transaction is written and synced. It may sleep, or return an error such as
+	// ENOSPC, with which the write then fails.
 	Sync() error
 }
 
-// FileFaults injects the faults that a file names, as JSON: sync_delay_ms is added to each sync, and with
-// full each write fails with ENOSPC. The file is read at each sync; a missing one, or one that doesn't
-// decode, is no fault.
+// FileFaults injects the faults that a JSON file describes: each sync is delayed by sync_delay_ms (at most 10
+// s), and if full is set, each write fails with ENOSPC. The file is read at each sync; if it is missing or
+// does not decode, no fault is injected.
 type FileFaults struct{ Path string }
 
-// Sync applies the faults that the file names now.
+// Sync applies the faults that the file describes now.
 func (f FileFaults) Sync() error {
 	raw, err := os.ReadFile(f.Path)
 	if err != nil {
--- a/internal/cluster/raftgroup/golden_test.go
+++ b/internal/cluster/raftgroup/golden_test.go
@@ -24,29 +24,29 @@
 	"cresshub/internal/testbed/goldenfile"
 )
 
-const goldenID = 0x8123456789abcdef // of a disk; one is drawn when its file is made
+const goldenID = 0x8123456789abcdef // replica ID used in place of the random one of a new store
 
-// goldenWire is a connection that others' bytes are read of and this program's are kept of.
-type goldenWire struct {
+// recordingConn is a connection that reads prepared bytes and records what is written to it.
+type recordingConn struct {
 	net.Conn
 	in  io.Reader
 	out bytes.Buffer
 }
 
-func (w *goldenWire) Read(b []byte) (int, error) { return w.in.Read(b) }
-func (w *goldenWire) Write(b []byte) (int, error) {
+func (w *recordingConn) Read(b []byte) (int, error) { return w.in.Read(b) }
+func (w *recordingConn) Write(b []byte) (int, error) {
 	return w.out.Write(b)
 }
-func (*goldenWire) SetDeadline(time.Time) error      { return nil }
-func (*goldenWire) SetReadDeadline(time.Time) error  { return nil }
-func (*goldenWire) SetWriteDeadline(time.Time) error { return nil }
-func (*goldenWire) Close() error                     { return nil }
-func (*goldenWire) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (*recordingConn) SetDeadline(time.Time) error      { return nil }
+func (*recordingConn) SetReadDeadline(time.Time) error  { return nil }
+func (*recordingConn) SetWriteDeadline(time.Time) error { return nil }
+func (*recordingConn) Close() error                     { return nil }
+func (*recordingConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
 
-// DialContext has it be the connection to any member.
-func (w *goldenWire) DialContext(context.Context, string, string) (net.Conn, error) { return w, nil }
+// DialContext returns w as the connection to any member.
+func (w *recordingConn) DialContext(context.Context, string, string) (net.Conn, error) { return w, nil }
 
-// goldenHost is a member without a disk, a listener or goroutines.
+// goldenHost returns a Host without a disk, a listener or goroutines.
 func goldenHost() *Host {
 	h := &Host{opts: Options{Name: "odori-1", Label: "sapporo"}, log: slog.New(slog.DiscardHandler),
 		store: &store{id: goldenID}, groups: map[string]*group{}, leaderHints: map[string]string{}}
@@ -63,20 +63,21 @@
 	return g
 }
 
-func goldenProto(t *testing.T, name string, got, want proto.Message) {
+func checkProtoEqual(t *testing.T, name string, got, want proto.Message) {
 	t.Helper()
 	if !proto.Equal(got, want) {
-		t.Errorf("%s: read as\n%v, not\n%v", name, got, want)
+		t.Errorf("%s: decoded as\n%v, want\n%v", name, got, want)
 	}
 }
 
 func goldenMessage() *raftpb.Message {
 	kind := raftpb.MsgApp
 	return &raftpb.Message{Type: &kind, To: proto.Uint64(goldenID), From: proto.Uint64(2), Term: proto.Uint64(3),
-		LogTerm: proto.Uint64(4), Index: proto.Uint64(5), Entries: entries(6, 7), Commit: proto.Uint64(8)}
+		LogTerm: proto.Uint64(4), Index: proto.Uint64(5), Entries: testEntries(6, 7), Commit: proto.Uint64(8)}
 }
 
-// goldenFrame writes a value as a frame of that kind, and reads it back from the file.
+// goldenFrame checks that a value is written as the frame in the golden file and decoded from it, and returns
+// the frame.
 func goldenFrame[T any](t *testing.T, name string, kind byte, want T) []byte {
 	t.Helper()
 	goldenfile.CheckFieldsSet(t, name, want)
@@ -84,12 +85,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &goldenWire{}
+	w := &recordingConn{}
 	if err := writeFrame(w, kind, raw); err != nil {
 		t.Fatal(err)
 	}
-	held := goldenfile.CheckBytes(t, name, w.out.Bytes())
-	is, body, err := readFrame(bufio.NewReader(bytes.NewReader(held)), maxFrameSize)
+	golden := goldenfile.CheckBytes(t, name, w.out.Bytes())
+	gotKind, body, err := readFrame(bufio.NewReader(bytes.NewReader(golden)), maxFrameSize)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,81 +98,84 @@
 	if err := json.Unmarshal(body, &got); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.CheckDecoded(t, name, is, kind)
+	goldenfile.CheckDecoded(t, name, gotKind, kind)
 	goldenfile.CheckDecoded(t, name, got, want)
-	return held
+	return golden
 }
 
 func TestGoldenFramesAreReadAndWrittenByteForByte(t *testing.T) {
 	h := goldenHost()
 	g := goldenGroup(h)
-	hi := goldenFrame(t, "hello.bin", frameHello, hello{protocolVersion, "sapporo", "odori-1", goldenID})
-	ask := request{Kind: "propose", Group: "g", From: "odori-1", ID: goldenID, Data: []byte{0, 1, 254, 255},
-		TimeoutMS: 1500}
-	goldenFrame(t, "call.bin", frameRequest, ask)
+	helloFrame := goldenFrame(t, "hello.bin", frameHello, hello{protocolVersion, "sapporo", "odori-1", goldenID})
+	proposeReq := request{Kind: "propose", Group: "g", From: "odori-1", ID: goldenID,
+		Data: []byte{0, 1, 254, 255}, TimeoutMS: 1500}
+	goldenFrame(t, "call.bin", frameRequest, proposeReq)
 	goldenFrame(t, "answer.bin", frameResponse, response{Err: ErrNotLeader.Error(), Leader: "susukino-2",
 		Result: []byte(`{"status":"counted"}`)})
 
-	// Hello as dial says it, and a message of raft's as a sender writes it.
-	w := &goldenWire{}
+	// The hello as dial sends it, and a Raft message as a sender writes it.
+	w := &recordingConn{}
 	h.net.dialer = w
-	c, err := h.net.dial(t.Context(), "susukino-2:1")
+	conn, err := h.net.dial(t.Context(), "susukino-2:1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.CheckBytes(t, "hello.bin", w.out.Bytes())
 	w.out.Reset()
-	if !(&sender{net: h.net, to: goldenID}).write(c, outboundMsg{"g", goldenMessage()}) {
-		t.Error("the message was not written")
+	if !(&sender{net: h.net, replicaID: goldenID}).write(conn, outboundMsg{"g", goldenMessage()}) {
+		t.Error("the Raft message was not written")
 	}
-	m := goldenfile.CheckBytes(t, "raft.bin", w.out.Bytes())
+	raftFrame := goldenfile.CheckBytes(t, "raft.bin", w.out.Bytes())
 
-	// What another member says: hello, the message, a call on a group that is not here.
-	nobody := goldenFrame(t, "call-elsewhere.bin", frameRequest, request{Kind: "read", Group: "elsewhere",
+	// Frames from another member: hello, Raft message, and a request for a group that this Host has no
+	// replica of.
+	requestFrame := goldenFrame(t, "call-elsewhere.bin", frameRequest, request{Kind: "read", Group: "elsewhere",
 		From: "susukino-2", ID: 2, Data: []byte("{}"), TimeoutMS: 60_000})
-	in := &goldenWire{in: bytes.NewReader(bytes.Join([][]byte{hi, m, nobody}, nil))}
+	in := &recordingConn{in: bytes.NewReader(bytes.Join([][]byte{helloFrame, raftFrame, requestFrame}, nil))}
 	if err := h.net.serveConn(in); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 	select {
 	case got := <-g.inbox:
-		goldenProto(t, "raft.bin", got, goldenMessage())
+		checkProtoEqual(t, "raft.bin", got, goldenMessage())
 	default:
-		t.Error("raft.bin: no message came")
+		t.Error("raft.bin: no message was delivered to the group")
 	}
 	reply := goldenfile.CheckBytes(t, "answer-elsewhere.bin", in.out.Bytes())
 
-	// The same from the caller's side. How long it waits is in the request, and depends on the clock: see above.
-	h.net.dialer = &goldenWire{in: bytes.NewReader(reply)}
-	var a response
-	if err := h.net.call(t.Context(), "susukino-2:1", ask, &a); err != nil {
+	// The same request and response at the caller. The request holds the remaining time, which depends on the
+	// clock, so that its bytes are checked above instead.
+	h.net.dialer = &recordingConn{in: bytes.NewReader(reply)}
+	var resp response
+	if err := h.net.call(t.Context(), "susukino-2:1", proposeReq, &resp); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.CheckDecoded(t, "answer-elsewhere.bin", a, response{Err: ErrNotLeader.Error()})
+	goldenfile.CheckDecoded(t, "answer-elsewhere.bin", resp, response{Err: ErrNotLeader.Error()})
 }
 
-// Errors cross as their text and are known by it.
+// Members send each other the texts of errors and recognize errors by them.
 func TestGoldenErrorsAreReadAndWrittenByteForByte(t *testing.T) {
 	var texts []string
-	for _, e := range []error{ErrNotLeader, ErrForming, ErrOutcomeUnknown, ErrBusy, ErrStopped, ErrDisk, errGroupExists,
-		errNotFirstRanked, errAlreadyVoted} {
+	for _, e := range []error{ErrNotLeader, ErrTooFewVoters, ErrOutcomeUnknown, ErrBusy, ErrStopped, ErrDisk,
+		errGroupExists, errNotFirstRanked, errAlreadyVoted} {
 		texts = append(texts, e.Error())
 	}
 	goldenfile.CheckJSON(t, "errors.json", texts)
 }
 
-func TestGoldenAnswersAreReadAndWrittenByteForByte(t *testing.T) {
-	goldenfile.CheckJSON(t, "roster.json", Roster{Disks: []uint64{1, goldenID}, Applied: 2})
+func TestGoldenRosterAndStatusByteForByte(t *testing.T) {
+	goldenfile.CheckJSON(t, "roster.json", Roster{ReplicaIDs: []uint64{1, goldenID}, Applied: 2})
 	goldenfile.CheckJSON(t, "status.json", Status{Group: "ledger", Role: "leader", Leader: "odori-1", Term: 1,
 		Commit: 2, Applied: 3, Snapshot: 4, LogBytes: 5, Voters: []string{"odori-1", "susukino-2"},
 		Learners: []string{"maruyama-3"}, Replicas: []ReplicaStatus{{Member: "susukino-2",
 			Disk: formatDiskID(goldenID), Learner: true, LagEntries: 6, Active: true}},
 		Disk: formatDiskID(2), Leaderless: true, Stalled: "no space",
-		Stats: GroupStats{Elections: 11, Snapshots: 12, Restored: 13, ConfChanges: 14, Proposed: 15,
+		Stats: GroupStats{Elections: 11, SnapshotsTaken: 12, SnapshotsInstalled: 13, ConfChanges: 14, Proposed: 15,
 			Rejected: 16, DiskErrors: 17, SlowSyncs: 18}})
 }
 
-// A snapshot's data is a map by its fields' names. It has one member: several come in a map's order.
+// A snapshot's data is a msgpack map from field names to values. It lists only one member here, as several
+// would be encoded in random order.
 func TestGoldenSnapshotIsReadAndWrittenByteForByte(t *testing.T) {
 	g := goldenGroup(goldenHost())
 	g.stateMachine = &adder{sum: 41, n: 42}
@@ -179,27 +183,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := goldenfile.CheckBytes(t, "snapshot.bin", raw)
-	into := goldenGroup(goldenHost())
-	if err := into.restoreSnapshot(&raftpb.Snapshot{Data: held, Metadata: &raftpb.SnapshotMetadata{
+	golden := goldenfile.CheckBytes(t, "snapshot.bin", raw)
+	restored := goldenGroup(goldenHost())
+	if err := restored.restoreSnapshot(&raftpb.Snapshot{Data: golden, Metadata: &raftpb.SnapshotMetadata{
 		Index: proto.Uint64(7), Term: proto.Uint64(2)}}); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.CheckDecoded(t, "snapshot.bin", into.memberNames, map[uint64]string{goldenID: "odori-1"})
-	goldenfile.CheckDecoded(t, "snapshot.bin", into.stateMachine, StateMachine(&adder{sum: 41, n: 42}))
+	goldenfile.CheckDecoded(t, "snapshot.bin", restored.memberNames, map[uint64]string{goldenID: "odori-1"})
+	goldenfile.CheckDecoded(t, "snapshot.bin", restored.stateMachine, StateMachine(&adder{sum: 41, n: 42}))
 }
 
-// goldenLeader has raft lead a group of one in memory, so that it takes what is proposed.
+// goldenLeader makes g's raft the leader of a group with one voter, in memory, so that it accepts proposals.
 func goldenLeader(t *testing.T, g *group) {
 	t.Helper()
-	ms := raft.NewMemoryStorage()
-	if err := ms.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1),
+	storage := raft.NewMemoryStorage()
+	if err := storage.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1),
 		Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{goldenID}}}}); err != nil {
 		t.Fatal(err)
 	}
 	var err error
 	if g.rawNode, err = raft.NewRawNode(&raft.Config{ID: goldenID, ElectionTick: 10, HeartbeatTick: 1,
-		Storage: ms, Applied: 1, MaxSizePerMsg: maxSizePerMsg, MaxInflightMsgs: maxInflightMsgs,
+		Storage: storage, Applied: 1, MaxSizePerMsg: maxSizePerMsg, MaxInflightMsgs: maxInflightMsgs,
 		Logger: raftLogger{g.log}}); err != nil {
 		t.Fatal(err)
 	}
@@ -207,35 +211,36 @@
 		t.Fatal(err)
 	}
 	for g.rawNode.HasReady() {
-		rd := g.rawNode.Ready()
-		if err := ms.Append(rd.Entries); err != nil {
+		ready := g.rawNode.Ready()
+		if err := storage.Append(ready.Entries); err != nil {
 			t.Fatal(err)
 		}
-		g.rawNode.Advance(rd)
+		g.rawNode.Advance(ready)
 	}
 }
 
-// A command stands in raft's log behind the identity of the disk that proposed it and a number of its own.
+// In raft's log, a command is preceded by the ID of the replica that proposed it and that replica's request
+// ID.
 func TestGoldenProposalIsReadAndWrittenByteForByte(t *testing.T) {
 	g := goldenGroup(goldenHost())
 	goldenLeader(t, g)
 	g.lastRequestID = 0x0102030405060707
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // nobody waits for the outcome
+	cancel() // the caller stops waiting before there is an outcome
 	if _, err := g.propose(ctx, []byte("17")); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Fatal(err)
 	}
 	(<-g.tasks)()
-	rd := g.rawNode.Ready()
-	if len(rd.Entries) != 1 {
-		t.Fatalf("%d entries, not 1", len(rd.Entries))
+	ready := g.rawNode.Ready()
+	if len(ready.Entries) != 1 {
+		t.Fatalf("Ready has %d entries, not 1", len(ready.Entries))
 	}
-	held := goldenfile.CheckBytes(t, "proposal.bin", rd.Entries[0].GetData())
+	golden := goldenfile.CheckBytes(t, "proposal.bin", ready.Entries[0].GetData())
 
 	out := make(chan outcome, 1)
 	other := goldenGroup(goldenHost())
 	other.proposals[0x0102030405060708] = out
-	other.applyEntry(&raftpb.Entry{Index: proto.Uint64(9), Term: proto.Uint64(1), Data: held})
+	other.applyEntry(&raftpb.Entry{Index: proto.Uint64(9), Term: proto.Uint64(1), Data: golden})
 	goldenfile.CheckDecoded(t, "proposal.bin", other.stateMachine, StateMachine(&adder{sum: 17, n: 1}))
 	select {
 	case o := <-out:
@@ -245,24 +250,24 @@
 	}
 }
 
-// A change of members carries the member's name, which every replica learns of it.
-func TestGoldenChangeOfMembersIsRead(t *testing.T) {
+// A membership change carries the member's name, from which every replica learns it.
+func TestGoldenMembershipChangeIsRead(t *testing.T) {
 	kind := raftpb.ConfChangeAddLearnerNode
 	raw, err := proto.Marshal(&raftpb.ConfChange{Type: &kind, NodeId: proto.Uint64(2),
 		Context: []byte("susukino-2")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := goldenfile.CheckBytes(t, "change.bin", raw)
+	golden := goldenfile.CheckBytes(t, "change.bin", raw)
 	g := goldenGroup(goldenHost())
 	goldenLeader(t, g)
 	change := raftpb.EntryConfChange
-	g.applyEntry(&raftpb.Entry{Type: &change, Index: proto.Uint64(3), Term: proto.Uint64(2), Data: held})
+	g.applyEntry(&raftpb.Entry{Type: &change, Index: proto.Uint64(3), Term: proto.Uint64(2), Data: golden})
 	goldenfile.CheckDecoded(t, "change.bin", g.memberNames, map[uint64]string{2: "susukino-2"})
 	goldenfile.CheckDecoded(t, "change.bin", g.confState.GetLearners(), []uint64{2})
 }
 
-// goldenRecords is what a file holds, a line a record: its buckets, its key, its value.
+// goldenRecords formats the contents of a store, one record per line: its bucket path, its key and its value.
 func goldenRecords(t *testing.T, s *store) string {
 	t.Helper()
 	var out strings.Builder
@@ -284,7 +289,7 @@
 	return out.String()
 }
 
-// goldenStore is a file in a new folder that holds the records of text.
+// goldenStore opens a store in a new directory that holds the records in text, as formatted by goldenRecords.
 func goldenStore(t *testing.T, text string) *store {
 	t.Helper()
 	dir := t.TempDir()
@@ -299,10 +304,10 @@
 			if _, err := fmt.Sscanf(line, "%s %x %x\n", &path, &key, &value); err != nil {
 				return err
 			}
-			top, within, nested := strings.Cut(path, ">")
-			b, err := tx.CreateBucketIfNotExists([]byte(top))
+			bucket, nestedBucket, nested := strings.Cut(path, ">")
+			b, err := tx.CreateBucketIfNotExists([]byte(bucket))
 			if err == nil && nested {
-				b, err = b.CreateBucketIfNotExists([]byte(within))
+				b, err = b.CreateBucketIfNotExists([]byte(nestedBucket))
 			}
 			if err != nil {
 				return err
@@ -326,14 +331,14 @@
 	return s
 }
 
-// The records are held to the file, not the pages: where those lie is bbolt's own. The disk's identity is
-// drawn, so that a given one is put in its place.
+// The records are compared with the golden file, not the file's pages, whose layout is up to bbolt. The
+// replica ID of a new store is random and is replaced by a fixed one.
 func TestGoldenStoreIsReadAndWrittenByteForByte(t *testing.T) {
 	s := goldenStore(t, "")
 	if err := s.update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(metaBucket)
 		if raw := b.Get([]byte("id")); len(raw) != 8 || binary.BigEndian.Uint64(raw) != s.id {
-			t.Errorf("the identity drawn is %x, not %x", raw, s.id)
+			t.Errorf("stored replica ID is %x, not %x", raw, s.id)
 		}
 		return b.Put([]byte("id"), binary.BigEndian.AppendUint64(nil, goldenID))
 	}); err != nil {
@@ -346,11 +351,11 @@
 	if err := s.createGroup("ledger"); err != nil {
 		t.Fatal(err)
 	}
-	size, err := s.save("ledger", &raft.Ready{Snapshot: snap, HardState: hard, Entries: entries(5, 6)})
+	logBytes, err := s.save("ledger", &raft.Ready{Snapshot: snap, HardState: hard, Entries: testEntries(5, 6)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The vote to found a group, as it is given.
+	// A bootstrap vote, as handleBootstrapVote stores it.
 	h := goldenHost()
 	h.store, h.opts.Groups = s, []string{"ledger"}
 	h.peers = []Peer{{Address: "susukino-2:1"}}
@@ -359,32 +364,32 @@
 	if err := h.handleBootstrapVote(req); err != nil {
 		t.Fatal(err)
 	}
-	held := goldenfile.CheckBytes(t, "store.txt", []byte(goldenRecords(t, s)))
+	golden := goldenfile.CheckBytes(t, "store.txt", []byte(goldenRecords(t, s)))
 
-	s = goldenStore(t, string(held))
+	s = goldenStore(t, string(golden))
 	goldenfile.CheckDecoded(t, "store.txt", s.id, uint64(goldenID))
 	goldenfile.CheckDecoded(t, "store.txt", s.groups(), []string{"ledger"})
 	goldenfile.CheckDecoded(t, "store.txt", s.metaValue("vote/ledger"), "0000000000000002")
-	ms, got, err := s.load("ledger")
+	storage, gotLogBytes, err := s.load("ledger")
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.CheckDecoded(t, "store.txt", got, size)
-	gotHard, _, err := ms.InitialState()
+	goldenfile.CheckDecoded(t, "store.txt", gotLogBytes, logBytes)
+	gotHard, _, err := storage.InitialState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenProto(t, "store.txt", gotHard, hard)
-	gotSnap, err := ms.Snapshot()
+	checkProtoEqual(t, "store.txt", gotHard, hard)
+	gotSnap, err := storage.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenProto(t, "store.txt", gotSnap, snap)
-	log, err := ms.Entries(5, 7, 1<<20)
+	checkProtoEqual(t, "store.txt", gotSnap, snap)
+	log, err := storage.Entries(5, 7, 1<<20)
 	if err != nil || len(log) != 2 {
-		t.Fatalf("%d entries, %v", len(log), err)
+		t.Fatalf("log has %d entries, not 2; error %v", len(log), err)
 	}
-	for i, e := range entries(5, 6) {
-		goldenProto(t, "store.txt", log[i], e)
+	for i, e := range testEntries(5, 6) {
+		checkProtoEqual(t, "store.txt", log[i], e)
 	}
 }
--- a/internal/cluster/raftgroup/group.go
+++ b/internal/cluster/raftgroup/group.go
@@ -13,126 +13,129 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// StateMachine is the state that a group's log is applied to. A group calls it from one goroutine.
+// StateMachine is the state that a group applies the commands in its log to. The group calls all methods from
+// one goroutine.
 type StateMachine interface {
-	// Apply applies the committed command at a log index. Its result goes to the proposer, as JSON where that
-	// is another member.
+	// Apply applies the committed command at a log index. The result is returned to the proposer, encoded as
+	// JSON if that is another member.
 	Apply(index uint64, data []byte) any
-	// Read answers a query from the state as it is.
+	// Read answers a query from the current state.
 	Read(query []byte) (any, error)
 	// Snapshot encodes the whole state.
 	Snapshot() []byte
-	// Restore replaces the state by an encoded one.
+	// Restore replaces the state by one that Snapshot encoded.
 	Restore([]byte) error
 }
 
-// The errors of a call on a group. After ErrOutcomeUnknown a proposal may have been applied, and is proposed again
-// under the same id; after any other error it has not been applied and will not be. Members send these errors
-// to each other by their texts.
+// Errors of a call on a group. After ErrOutcomeUnknown a proposal may have been applied, and the caller
+// proposes it again under the same ID; after any other error it has not been applied and will not be. Members
+// send each other the texts of these errors and recognize them by their texts.
 var (
 	ErrNotLeader      = errors.New("this replica does not lead the group")
-	ErrForming        = errors.New("the group has fewer than three voters yet, and promises nothing")
+	ErrTooFewVoters   = errors.New("the group has fewer than three voters yet, and promises nothing")
 	ErrDisk           = errors.New("the disk does not take what is written")
 	ErrOutcomeUnknown = errors.New("the outcome is not known")
 	ErrBusy           = errors.New("too much is under way")
 	ErrStopped        = errors.New("the group has stopped")
 )
 
-// minVoters is how many voters a group needs to accept proposals: with fewer, the loss of one machine could
-// lose what was committed.
+// minVoters is the number of voters that a group needs to accept proposals: with fewer, the loss of one
+// machine could lose committed entries.
 const minVoters = 3
 
 const (
 	// maxInboxMessages bounds the inbound Raft messages that wait for the group's goroutine.
 	maxInboxMessages = 4096
-	// maxInflightMsgs bounds the log messages sent to a follower and not acknowledged, maxSizePerMsg the bytes
-	// of entries in one of them.
+	// maxInflightMsgs bounds the append messages sent to a follower and not acknowledged yet, and
+	// maxSizePerMsg the bytes of entries in one of them.
 	maxInflightMsgs = 256
 	maxSizePerMsg   = 1 << 20
-	// maxUncommittedSize is the bytes of entries proposed and not committed beyond which a leader rejects
-	// proposals, with ErrBusy.
+	// maxUncommittedSize bounds the entries, in bytes, that were proposed and are not committed yet. Beyond
+	// it a leader rejects proposals with ErrBusy.
 	maxUncommittedSize = 16 << 20
-	// minPlacementInterval is the least time between two looks at the group's placement.
+	// minPlacementInterval is the shortest time between two calls of reconcilePlacement.
 	minPlacementInterval = 50 * time.Millisecond
 )
 
-// group is one group's replica on this member: a raft.RawNode with the I/O around it, run by one goroutine.
+// group is this member's replica of one group: a raft.RawNode with the I/O around it, run by one goroutine.
 // Other goroutines reach it through inbox and tasks.
 //
-// Its states: startGroup restores it from the store and starts run. It then runs, as raft's leader,
-// candidate, follower or learner; while the disk takes no writes (diskErr) run retries and rejects calls. It
-// ends, for good, in one of three ways: stopped by Host.Close; removed from its group (removed), with its
-// data deleted; or stopped by a panic, where its disk and the group's log contradict each other. done is
-// closed then, and calls return ErrStopped.
+// States: startGroup restores the group from the store and starts run. The replica then runs as raft's
+// leader, candidate, follower or learner; while disk writes fail (diskErr), run retries them and rejects
+// proposals and linearizable reads. It ends, for good, in one of three ways: stopped by Host.Close; removed
+// from its group (removed), with its data deleted; or stopped by a panic because its disk and the group's log
+// contradict each other. done is closed then, and calls return ErrStopped.
 //
-// Its invariants:
+// Invariants:
 //
-//   - What a Ready has to have on disk is there before its messages go out and its entries are applied.
-//   - Every entry up to appliedIndex was applied, once and in order, and none above; confState, memberNames
-//     and the state machine are those at appliedIndex.
-//   - A channel in proposals or pendingReads gets one outcome at most, for which it has room, and is deleted
-//     with it: the group's goroutine never waits for a caller.
+//   - The parts of a Ready that must be on disk are there before its messages are sent and its entries are
+//     applied.
+//   - Every entry up to appliedIndex was applied, once and in order, and none after it; confState,
+//     memberNames and the state machine are those at appliedIndex.
+//   - A channel in proposals or pendingReads receives at most one outcome, for which it has a free buffer
+//     slot, and is deleted then: the group's goroutine never waits for a caller.
 type group struct {
 	name         string
 	host         *Host
 	log          *slog.Logger
 	stateMachine StateMachine
 
-	inbox chan *raftpb.Message // from other replicas, and the network's reports on messages to them (step)
-	tasks chan func()          // run by the group's goroutine, see enqueue
+	inbox chan *raftpb.Message // messages from other replicas, and reports on messages to them (step)
+	tasks chan func()          // functions for the group's goroutine to run (enqueue)
 	stop  chan struct{}        // closed by Host.Close
 	done  chan struct{}        // closed when run returns
 
-	// What follows belongs to the group's goroutine.
-	rawNode            *raft.RawNode
-	storage            *raft.MemoryStorage
-	confState          *raftpb.ConfState       // voters and learners
-	memberNames        map[uint64]string       // by replica ID, as learned from the group's membership changes
-	appliedIndex       uint64                  // of the last entry applied
-	snapshotIndex      uint64                  // of the last snapshot taken or installed
-	logBytes           int64                   // bytes of log since the snapshot
-	proposals          map[uint64]chan outcome // by request ID
-	pendingReads       map[uint64]pendingRead  // by request ID
-	lastRequestID      uint64                  // rises by one with each proposal and read
-	isLeader           bool                    // as of the last Ready
-	lead               uint64                  // replica ID of the leader, as of the last Ready; or raft.None
-	lastLeaderContact  time.Time               // when a message of a leader was last received
-	diskErr            error                   // why the last write failed; nil while the disk works
-	confChangeProposed time.Time               // of the membership change not applied yet; zero if there is none
-	removed            bool                    // this replica left the group; run ends
-	stats              GroupStats
+	// The fields below are used only by the group's goroutine.
+	rawNode              *raft.RawNode
+	storage              *raft.MemoryStorage
+	confState            *raftpb.ConfState       // voters and learners
+	memberNames          map[uint64]string       // by replica ID, from the group's membership changes
+	appliedIndex         uint64                  // of the last entry applied
+	snapshotIndex        uint64                  // of the last snapshot taken or installed
+	logBytes             int64                   // bytes of log since the snapshot
+	proposals            map[uint64]chan outcome // by request ID
+	pendingReads         map[uint64]pendingRead  // by request ID
+	lastRequestID        uint64                  // incremented by each proposal and read
+	isLeader             bool                    // as of the last Ready
+	leaderID             uint64                  // replica ID of the leader as of the last Ready, or raft.None
+	lastLeaderContact    time.Time               // when a message from a leader was last received
+	diskErr              error                   // why the last write failed; nil while the disk works
+	confChangeProposedAt time.Time               // zero if no membership change is pending
+	removed              bool                    // this replica was removed from the group; run ends
+	stats                GroupStats
 }
 
-// outcome is the result of a call on a group, or its error: one of the two is set.
+// outcome is the result of a call on a group, or its error: only one of the two is set.
 type outcome struct {
 	result any
 	err    error
 }
 
-// pendingRead is a query that waits for its read index to be confirmed by the leader, then to be applied.
+// pendingRead is a query that waits until the leader has confirmed its read index and the entries up to that
+// index are applied.
 type pendingRead struct {
-	index uint64 // 0: not confirmed yet
+	index uint64 // read index; 0 until it is confirmed
 	query []byte
 	out   chan outcome
 }
 
-// GroupStats count what happened to a replica since its start.
+// GroupStats counts events of a replica since it was opened.
 type GroupStats struct {
-	Elections   int64 `json:"elections"` // leaders it has followed or been
-	Snapshots   int64 `json:"snapshots"` // taken here
-	Restored    int64 `json:"restored"`  // snapshots installed from a leader
-	ConfChanges int64 `json:"changes"`   // membership changes applied
-	Proposed    int64 `json:"proposed"`
-	Rejected    int64 `json:"refused"`     // proposals
-	DiskErrors  int64 `json:"disk_errors"` // failed writes, each attempt of one
-	SlowSyncs   int64 `json:"slow_syncs"`  // writes that took over 100 ms
+	Elections          int64 `json:"elections"`   // times that a leader became known, which may be this replica
+	SnapshotsTaken     int64 `json:"snapshots"`   // snapshots taken to compact the log
+	SnapshotsInstalled int64 `json:"restored"`    // snapshots installed from a leader
+	ConfChanges        int64 `json:"changes"`     // membership changes applied
+	Proposed           int64 `json:"proposed"`    // proposals that raft accepted from this replica
+	Rejected           int64 `json:"refused"`     // proposals rejected
+	DiskErrors         int64 `json:"disk_errors"` // failed attempts to write
+	SlowSyncs          int64 `json:"slow_syncs"`  // writes that took longer than slowSyncThreshold
 }
 
-// startGroup starts a group's replica from what the store holds. With bootstrap, a group of which the store
-// holds nothing begins with this member as its only voter. Errors of what is stored name its file and the
-// group. Called with Host.mu held.
+// startGroup starts a group's replica from the data in the store. If bootstrap is set and the store holds no
+// data of the group, the group begins with this member as its only voter. Errors caused by stored data name
+// the file and the group. Called with Host.mu held.
 func startGroup(h *Host, name string, bootstrap bool) (_ *group, err error) {
-	defer func() { // raft panics on stored data that contradicts itself
+	defer func() { // raft panics on inconsistent stored data
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%s: group %s: %v", h.store.path, name, p)
 		}
@@ -170,13 +173,14 @@
 		memberNames:  map[uint64]string{},
 		proposals:    map[uint64]chan outcome{},
 		pendingReads: map[uint64]pendingRead{},
-		// Drawn, so that entries proposed before a restart don't match callers after it.
+		// Random, so that entries proposed before a restart don't match calls made after it.
 		lastRequestID: rand.Uint64() >> 1,
 	}
 }
 
 // restoreStored restores the state from the stored snapshot, or bootstraps the group if there is none and
-// bootstrap is set. The log after the snapshot is applied later, as raft hands it out.
+// bootstrap is set. The log entries after the snapshot are applied later, when raft returns them as
+// committed.
 func (g *group) restoreStored(bootstrap bool) error {
 	snap, err := g.storage.Snapshot()
 	if err != nil {
@@ -194,7 +198,7 @@
 	return nil
 }
 
-// saveInitialState stores the state that a group begins with: a snapshot at index 1 whose only voter is this
+// saveInitialState stores the initial state of a group: a snapshot at index 1 whose only voter is this
 // replica.
 func (g *group) saveInitialState() (*raftpb.Snapshot, error) {
 	id := g.host.store.id
@@ -220,9 +224,10 @@
 	return snap, g.storage.SetHardState(hardState)
 }
 
-// raftConfig has raft check for a quorum as leader and ask before an election (PreVote), so that a replica
-// that was cut off does not depose a leader that works. Proposals are not forwarded to the leader, as their
-// outcome would not come back.
+// raftConfig returns the configuration of raft. A leader that loses its quorum steps down (CheckQuorum), and
+// a replica asks the others before it starts an election (PreVote), so that one that was partitioned does not
+// depose a working leader. Proposals are not forwarded to the leader, as their outcome would not be reported
+// back.
 func (g *group) raftConfig() *raft.Config {
 	opts := &g.host.opts
 	return &raft.Config{
@@ -241,7 +246,7 @@
 	}
 }
 
-// run is the group's goroutine. Where raft panics because disk and log contradict each other, the replica
+// run is the group's goroutine. If raft panics because disk and log contradict each other, only this replica
 // stops; the rest of the process goes on.
 func (g *group) run() {
 	defer close(g.done)
@@ -278,7 +283,8 @@
 	g.deleteRemoved()
 }
 
-// deleteRemoved deletes the data of a replica that was removed from its group, and has the Host forget it.
+// deleteRemoved deletes the data of a replica that was removed from its group, and removes the replica from
+// the Host.
 func (g *group) deleteRemoved() {
 	g.log.Info("ledger: replica removed from its group")
 	if err := g.host.store.clearGroup(g.name); err != nil {
@@ -287,17 +293,18 @@
 	g.host.removeReplica(g)
 }
 
-// saveHardState stores the commit index, which is not stored as it rises, when the group stops.
+// saveHardState stores the hard state when the group stops, as a rise of the commit index alone is not stored
+// before.
 func (g *group) saveHardState() {
 	if g.diskErr != nil {
 		return
 	}
 	status := g.rawNode.BasicStatus()
-	// A restart learns the commit index from the leader where this fails.
+	// If this fails, the replica learns the commit index from the leader after a restart.
 	_, _ = g.host.store.save(g.name, &raft.Ready{HardState: status.HardState})
 }
 
-// processQueued takes the messages and tasks that are queued already, so that one sync serves them all.
+// processQueued handles the messages and tasks that are already queued, so that one sync covers them all.
 func (g *group) processQueued() {
 	for range maxInboxMessages {
 		select {
@@ -311,8 +318,8 @@
 	}
 }
 
-// step hands raft a message of another replica, or a report of the network's on one to another replica
-// (Host.reportUndelivered, Host.reportSnapshotFinish), which raft takes by other methods.
+// step passes raft a message from another replica. A message that stands for a report on a message to another
+// replica (Host.reportUndelivered, Host.reportSnapshotFinish) is passed by raft's methods for such reports.
 func (g *group) step(msg *raftpb.Message) {
 	switch msg.GetType() {
 	case raftpb.MsgSnapStatus:
--- a/internal/cluster/raftgroup/handler.go
+++ b/internal/cluster/raftgroup/handler.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// handleRequest answers a request of a member, which may be this one, before ctx ends. Errors are in the
-// response. It may be called from any goroutine.
+// handleRequest handles a request from a member, which may be this one, before ctx ends. Errors are returned
+// in the response. It may be called from any goroutine.
 func (h *Host) handleRequest(ctx context.Context, req request) response {
 	if req.Kind == kindVote {
 		if err := h.handleBootstrapVote(req); err != nil {
@@ -23,7 +23,7 @@
 		return response{Err: ErrNotLeader.Error()}
 	}
 	if req.Kind == kindPropose && !h.isMember(req.From) {
-		return response{Err: fmt.Sprintf("%q is no member in this member's view", req.From)}
+		return response{Err: fmt.Sprintf("%q is not a member in this member's view", req.From)}
 	}
 	result, err := g.handle(ctx, req)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return response{Result: raw}
 }
 
-// handle answers a request that the group's goroutine has a part in.
+// handle handles the requests that need the group's goroutine.
 func (g *group) handle(ctx context.Context, req request) (any, error) {
 	switch req.Kind {
 	case kindPropose:
@@ -50,7 +50,7 @@
 	case kindRoster:
 		return g.roster(ctx)
 	}
-	return nil, fmt.Errorf("%q is no call", req.Kind)
+	return nil, fmt.Errorf("unknown request kind %q", req.Kind)
 }
 
 // isMember reports whether a member is in the view.
@@ -60,10 +60,11 @@
 	return name == h.opts.Name || slices.ContainsFunc(h.peers, func(peer Peer) bool { return peer.Name == name })
 }
 
-// leaderTimeout bounds how long a group's goroutine is waited for to name the leader.
+// leaderTimeout bounds how long leader waits for the group's goroutine.
 const leaderTimeout = time.Second
 
-// leader is the member that this replica takes for the leader; "" if it knows none or doesn't answer in time.
+// leader returns the name of the member that leads the group as far as this replica knows, or "" if it knows
+// none or does not answer within leaderTimeout.
 func (g *group) leader() string {
 	out := make(chan string, 1)
 	if g.enqueue(func() { out <- g.memberNames[g.rawNode.BasicStatus().Lead] }) != nil {
--- a/internal/cluster/raftgroup/host.go
+++ b/internal/cluster/raftgroup/host.go
@@ -12,7 +12,7 @@
 	"cresshub/internal/cluster/placement"
 )
 
-// viewInterval is how often the fleet's view is polled.
+// viewInterval is the interval at which the fleet's view is polled.
 const viewInterval = 100 * time.Millisecond
 
 // Peer is a member of the fleet, as the fleet's view has it.
@@ -21,30 +21,32 @@
 	Address string // where its Host listens; "" if it has none
 }
 
-// Host runs this member's replicas of all groups, with their common store and connections. Open, Run and
-// Close are called once each, in this order; Close may follow Open at once. Between Run and Close its methods
-// may be called from any goroutine, after Close they return errors such as ErrStopped and ErrNotLeader.
+// Host runs this member's replicas of all groups, with the store and the connections that they share. Open,
+// Run and Close are called once each, in this order; Close may also follow Open directly. Between Run and
+// Close, methods may be called from any goroutine; after Close they return errors such as ErrStopped and
+// ErrNotLeader.
 type Host struct {
 	opts  Options
 	log   *slog.Logger
 	store *store
 	net   *network
 
-	// mu is never held while a group, the network or the view is called, but by openReplica, which starts a
-	// group.
+	// mu is not held during a call to a group, the network or view, except by openReplica, which holds it
+	// while it starts a group.
 	mu          sync.Mutex
 	groups      map[string]*group    // open replicas, by group
 	view        func() []Peer        // nil before Run
-	peers       []Peer               // the view, as last looked at
-	absentSince map[string]time.Time // when members of replicas were first missing in the view, by name
-	leaderHints map[string]string    // member that last led a group, as far as known, by group
+	peers       []Peer               // the result of the last call of view
+	absentSince map[string]time.Time // when members with replicas were first missing in the view, by name
+	leaderHints map[string]string    // name of the last known leader, by group
 
-	stop       chan struct{}  // closed by Close, with mu held, so that no replica is opened after it
+	stop       chan struct{}  // closed by Close with mu held, so that no replica is opened afterwards
 	goroutines sync.WaitGroup // followView, maintainGroups and accept
-	once       sync.Once      // of Close
+	closeOnce  sync.Once      // for Close
 }
 
-// Open opens the store and listens; Run follows, or Close. Errors name the setting or the file.
+// Open opens the store and starts to listen. The caller calls Run or Close next. Errors name the setting or
+// the file.
 func Open(opts Options) (*Host, error) {
 	if err := opts.Check(); err != nil {
 		return nil, err
@@ -61,10 +63,10 @@
 	return h, nil
 }
 
-// ID is the ID of this member's replicas, which is its disk's.
+// ID returns the ID of this member's replicas, which is the ID of its disk.
 func (h *Host) ID() uint64 { return h.store.id }
 
-// Address is the host:port at which other members reach this one.
+// Address returns the host:port at which other members reach this one.
 func (h *Host) Address() string {
 	if h.opts.Advertise != "" {
 		return h.opts.Advertise
@@ -72,16 +74,16 @@
 	return h.net.listener.Addr().String()
 }
 
-// Run opens the replicas in the store and takes part in the groups, in goroutines that Close ends. It calls
-// view for the fleet's members, ten times a second and never twice at once; view must not block. An error
-// names the file and says that a replica in it can't be opened; Close has to follow.
+// Run opens the replicas in the store and starts to take part in the groups, in goroutines that Close ends.
+// It calls view for the fleet's members every viewInterval, never concurrently; view must not block. An error
+// says that a replica can't be opened and names the file; the caller must then call Close.
 func (h *Host) Run(view func() []Peer) error {
 	h.mu.Lock()
 	h.view = view
 	h.mu.Unlock()
 	h.refreshPeers()
 	for _, name := range h.store.groups() {
-		if err := h.reopen(name); err != nil {
+		if err := h.reopenReplica(name); err != nil {
 			return fmt.Errorf("ledger.data: %w", err)
 		}
 	}
@@ -92,17 +94,18 @@
 	return nil
 }
 
-// reopen opens a replica in the store, unless it was removed: then only a leader's message opens it again.
-func (h *Host) reopen(name string) error {
+// reopenReplica opens a replica that the store holds, unless it was removed from its group: its log and
+// snapshot are empty then, and only a leader's message opens it again (deliver).
+func (h *Host) reopenReplica(name string) error {
 	if !slices.Contains(h.opts.Groups, name) {
-		return fmt.Errorf("%s holds the group %q, which is none of this fleet's", h.store.path, name)
+		return fmt.Errorf("%s holds the group %q, which is not one of this fleet's groups", h.store.path, name)
 	}
 	storage, _, err := h.store.load(name)
 	if err != nil {
 		return err
 	}
-	snap, _ := storage.Snapshot()  // never fails in memory
-	last, _ := storage.LastIndex() // the same
+	snap, _ := storage.Snapshot()  // never fails for a MemoryStorage
+	last, _ := storage.LastIndex() // same here
 	if last == 0 && snap.GetMetadata().GetIndex() == 0 {
 		return nil
 	}
@@ -110,7 +113,8 @@
 	return err
 }
 
-// openReplica opens this member's replica of a group unless it is open; bootstrap as for startGroup.
+// openReplica returns this member's replica of a group, opening it if it is not open. For bootstrap see
+// startGroup.
 func (h *Host) openReplica(name string, bootstrap bool) (*group, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -129,7 +133,7 @@
 	return g, err
 }
 
-// removeReplica drops a replica that was removed from its group.
+// removeReplica forgets a replica that was removed from its group.
 func (h *Host) removeReplica(g *group) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,14 +142,14 @@
 	}
 }
 
-// group is this member's replica of a group; nil if it has none.
+// group returns this member's replica of a group, or nil if it has none.
 func (h *Host) group(name string) *group {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.groups[name]
 }
 
-// followView follows the view until Close.
+// followView refreshes the peers from the view every viewInterval until Close.
 func (h *Host) followView() {
 	refresh := time.NewTicker(viewInterval)
 	defer refresh.Stop()
@@ -159,9 +163,9 @@
 	}
 }
 
-// maintainGroups bootstraps missing groups and removes stale replicas until Close. It waits for other
-// members meanwhile, each time up to ElectionTimeout. When it next looks is drawn, so that members don't do
-// so at once.
+// maintainGroups bootstraps missing groups and removes stale replicas until Close. It waits for responses of
+// other members, up to ElectionTimeout for each. The time until its next round is random, so that the members
+// don't all start one at the same time.
 func (h *Host) maintainGroups() {
 	next := time.NewTimer(h.opts.ElectionTimeout)
 	defer next.Stop()
@@ -187,8 +191,8 @@
 	h.net.setAddresses(peers)
 }
 
-// placementMembers is the view as package placement reads it for a group. A replica's member that is not in
-// the view is added; it counts as gone after GoneAfter.
+// placementMembers returns the view in the form in which package placement takes it for a group. Members that
+// have a replica but are absent from the view are added; they count as gone after GoneAfter.
 func (h *Host) placementMembers(g placement.Group) []placement.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,12 +218,13 @@
 	return members
 }
 
-// Close transfers leadership, stops the replicas and connections, and closes the store. It waits up to four
-// election timeouts for each group that this member leads. Further calls do nothing and return nil.
+// Close transfers leadership to other members, stops the replicas and connections, and closes the store. It
+// waits up to four election timeouts for each group that this member leads. Further calls do nothing and
+// return nil.
 func (h *Host) Close() error {
 	var err error
-	h.once.Do(func() {
-		for _, g := range h.stopOpening() {
+	h.closeOnce.Do(func() {
+		for _, g := range h.beginShutdown() {
 			g.transferLeadership(2 * h.opts.ElectionTimeout)
 			close(g.stop)
 			<-g.done
@@ -231,8 +236,9 @@
 	return err
 }
 
-// stopOpening ends the Host's own goroutines, has no more replicas opened, and returns those that are open.
-func (h *Host) stopOpening() []*group {
+// beginShutdown tells the Host's own goroutines to end, prevents further replicas from being opened, and
+// returns the open ones.
+func (h *Host) beginShutdown() []*group {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	groups := make([]*group, 0, len(h.groups))
--- a/internal/cluster/raftgroup/host_test.go
+++ b/internal/cluster/raftgroup/host_test.go
@@ -21,9 +21,10 @@
 )
 
 const (
-	// patience bounds every wait of a test; no verdict depends on how much of it is used.
-	patience = 60 * time.Second
-	// attemptTimeout bounds one call on a group, which is made again: what is lost on the way is not answered.
+	// waitTimeout bounds each wait of a test. No test result depends on how much of it is used.
+	waitTimeout = 60 * time.Second
+	// attemptTimeout bounds one call on a group. The call is then repeated, as a message lost on the way gets
+	// no response.
 	attemptTimeout = 5 * time.Second
 )
 
@@ -49,7 +50,7 @@
 func (m *commandCounter) Apply(_ uint64, data []byte) any {
 	id, err := strconv.Atoi(string(data))
 	if err != nil {
-		panic(err) // no test proposes anything else
+		panic(err) // the tests propose only IDs
 	}
 	m.applied[id]++
 	return m.applied[id]
@@ -70,16 +71,16 @@
 	return json.Unmarshal(encoded, &m.applied)
 }
 
-// testCluster is the hosts of a fleet in this process, with a view that the test changes.
+// testCluster runs the hosts of a fleet in this process, with a view that the test controls.
 type testCluster struct {
 	t     *testing.T
 	mu    sync.Mutex
 	hosts map[string]*Host
 	dirs  map[string]string
-	down  map[string]bool // counted as gone in the view
+	down  map[string]bool // members that the view reports as gone
 }
 
-// newTestCluster starts hosts whose group counts commands.
+// newTestCluster starts hosts with a group whose state machine is a commandCounter.
 func newTestCluster(t *testing.T, names ...string) *testCluster {
 	t.Helper()
 	cluster := &testCluster{t: t, hosts: map[string]*Host{}, dirs: map[string]string{}, down: map[string]bool{}}
@@ -148,10 +149,10 @@
 	return ctx
 }
 
-// readInto decodes the state that a host reads, which it may take a while to do.
+// readInto decodes the state that a host reads into state, retrying until the read succeeds.
 func (c *testCluster) readInto(h *Host, state any) {
 	c.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		raw, err := h.Read(timeoutContext(c.t), "g", nil)
 		if err == nil {
 			if err := json.Unmarshal(raw, state); err != nil {
@@ -159,86 +160,86 @@
 			}
 			return
 		}
-		if time.Now().After(end) {
-			c.t.Fatalf("never read: %v", err)
+		if time.Now().After(deadline) {
+			c.t.Fatalf("no read succeeded: %v", err)
 		}
 	}
 }
 
-// commandFate is what a proposer was told of its command.
-type commandFate string
+// commandOutcome is the outcome of a command as reported to its proposer.
+type commandOutcome string
 
 const (
-	fateApplied  commandFate = "applied"  // counts once
-	fateRejected commandFate = "rejected" // never counts
-	fateUnknown  commandFate = "unknown"  // counts once or not at all
+	outcomeApplied  commandOutcome = "applied"  // applied exactly once
+	outcomeRejected commandOutcome = "rejected" // never applied
+	outcomeUnknown  commandOutcome = "unknown"  // applied at most once
 )
 
-// commandLog follows the commands that a test proposes to a cluster of commandCounters. Every proposal is a
-// command of its own, with an ID of its own, also where it follows one that failed.
-type commandLog struct {
-	cluster *testCluster
-	fates   map[int]commandFate // by command ID
-	seen    map[int]bool        // commands that a read has shown as applied
+// proposalTracker records the commands that a test proposes to a cluster of commandCounters. Every proposal
+// is a new command with an ID of its own, also if it follows one that failed.
+type proposalTracker struct {
+	cluster       *testCluster
+	outcomes      map[int]commandOutcome // by command ID
+	readAsApplied map[int]bool           // commands that an earlier read showed as applied
 }
 
-func newCommandLog(cluster *testCluster) *commandLog {
-	return &commandLog{cluster: cluster, fates: map[int]commandFate{}, seen: map[int]bool{}}
+func newProposalTracker(cluster *testCluster) *proposalTracker {
+	return &proposalTracker{cluster: cluster, outcomes: map[int]commandOutcome{}, readAsApplied: map[int]bool{}}
 }
 
 // proposeUntilApplied proposes commands at a host until one of them is applied.
-func (l *commandLog) proposeUntilApplied(h *Host) {
+func (l *proposalTracker) proposeUntilApplied(h *Host) {
 	t := l.cluster.t
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		id := len(l.fates)
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		id := len(l.outcomes)
 		result, err := h.Propose(timeoutContext(t), "g", []byte(strconv.Itoa(id)))
 		switch {
 		case err == nil:
-			l.fates[id] = fateApplied
+			l.outcomes[id] = outcomeApplied
 			if string(result) != "1" {
-				t.Errorf("command %d was applied %s times as its proposer was told", id, result)
+				t.Errorf("command %d was applied %s times according to its response", id, result)
 			}
 			return
 		case errors.Is(err, ErrOutcomeUnknown):
-			l.fates[id] = fateUnknown
+			l.outcomes[id] = outcomeUnknown
 		default:
-			l.fates[id] = fateRejected
+			l.outcomes[id] = outcomeRejected
 		}
 	}
-	t.Fatal("never proposed")
+	t.Fatal("no proposal was applied")
 }
 
-// checkAt reads the state at a host and checks that each command was applied as often as its fate allows, and
-// that none is missing which was read before.
-func (l *commandLog) checkAt(name string) {
+// checkAt reads the state at a host and checks that each command was applied as often as its outcome allows,
+// and that no command is missing that an earlier read showed as applied.
+func (l *proposalTracker) checkAt(name string) {
 	t := l.cluster.t
 	t.Helper()
 	applied := map[int]int{}
 	l.cluster.readInto(l.cluster.hosts[name], &applied)
-	for id, fate := range l.fates {
+	for id, outcome := range l.outcomes {
 		count := applied[id]
 		least, most := 0, 1
 		switch {
-		case fate == fateApplied || l.seen[id]:
+		case outcome == outcomeApplied || l.readAsApplied[id]:
 			least = 1
-		case fate == fateRejected:
+		case outcome == outcomeRejected:
 			most = 0
 		}
 		if count < least || count > most {
 			t.Errorf("%s reads command %d, whose outcome was %s, as applied %d times, not %d to %d",
-				name, id, fate, count, least, most)
+				name, id, outcome, count, least, most)
 		}
-		l.seen[id] = l.seen[id] || count > 0
+		l.readAsApplied[id] = l.readAsApplied[id] || count > 0
 	}
 	for id := range applied {
-		if _, proposed := l.fates[id]; !proposed {
+		if _, proposed := l.outcomes[id]; !proposed {
 			t.Errorf("%s reads command %d, which nobody proposed", name, id)
 		}
 	}
 }
 
-// replicasWithout returns the hosts with a replica of the group, but for one.
+// replicasWithout returns the names of the hosts that have a replica of the group, leaving out one host.
 func (c *testCluster) replicasWithout(except string) (names []string) {
 	for name, h := range c.hosts {
 		if name != except && h.Status("g").Role != RoleNone {
@@ -248,28 +249,28 @@
 	return names
 }
 
-// awaitReplicasWithout waits until three hosts, not counting one, have a replica, and returns their names.
+// awaitReplicasWithout waits until three hosts, leaving out one, have a replica, and returns their names.
 func (c *testCluster) awaitReplicasWithout(except string) []string {
 	c.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		names := c.replicasWithout(except)
 		if len(names) == 3 {
 			return names
 		}
-		if time.Now().After(end) {
-			c.t.Fatalf("replicas at %v, not counting %q", names, except)
+		if time.Now().After(deadline) {
+			c.t.Fatalf("replicas at %v, leaving out %q; three were expected", names, except)
 		}
 	}
 }
 
-// What is proposed at any member is read at any member, through snapshots, a restart and a replacement: each
-// command that was confirmed counts once, each that was rejected never, and each of unknown outcome once or
-// not at all.
+// Commands proposed at any member are read at every member, across snapshots, a restart and the replacement
+// of a replica: each confirmed command was applied once, each rejected one never, and each one of unknown
+// outcome at most once.
 func TestProposalsSurviveRestartAndReplacement(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	cluster := newTestCluster(t, names...)
-	commands := newCommandLog(cluster)
-	for i := range 120 { // over two snapshots
+	commands := newProposalTracker(cluster)
+	for i := range 120 { // enough for two snapshots
 		commands.proposeUntilApplied(cluster.hosts[names[i%len(names)]])
 	}
 	for _, name := range names {
@@ -278,12 +279,12 @@
 	replicas := cluster.awaitReplicasWithout("")
 
 	restarted, replaced := replicas[0], replicas[1]
-	cluster.stop(restarted, false) // restarts with its disk
+	cluster.stop(restarted, false) // it restarts with its disk below
 	commands.proposeUntilApplied(cluster.hosts[replaced])
 	cluster.start(restarted)
 	commands.checkAt(restarted)
 
-	cluster.stop(replaced, true) // gone for good
+	cluster.stop(replaced, true) // gone permanently
 	cluster.awaitReplicasWithout(replaced)
 	for _, name := range names {
 		if name != replaced {
@@ -292,17 +293,17 @@
 	}
 }
 
-// A group accepts no proposals without three voters, and is not bootstrapped again by a member that lost its
-// disk.
+// A group accepts no proposals without three voters, and a member that lost its disk does not bootstrap the
+// group again.
 func TestGroupIsBootstrappedOnce(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b")
 	time.Sleep(time.Second)
 	if _, err := cluster.hosts["a"].Propose(timeoutContext(t), "g", []byte("1")); err == nil {
-		t.Error("two members accepted a proposal")
+		t.Error("a fleet of two members accepted a proposal")
 	}
 	cluster.dirs["c"] = t.TempDir()
 	cluster.start("c")
-	commands := newCommandLog(cluster)
+	commands := newProposalTracker(cluster)
 	commands.proposeUntilApplied(cluster.hosts["a"])
 	bootstrapper := firstRanked("g", livePeers(cluster.view()))
 	others := []string{}
@@ -318,7 +319,7 @@
 	h := cluster.start(bootstrapper)
 	time.Sleep(time.Second)
 	if st := h.Status("g"); st.Role != RoleNone {
-		t.Errorf("the bootstrapper bootstrapped again without its disk: %+v", st)
+		t.Errorf("the bootstrapping member bootstrapped the group again after losing its disk: %+v", st)
 	}
 	for _, name := range others {
 		cluster.start(name)
@@ -328,7 +329,7 @@
 
 func TestMalformedFramesAreRejected(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
-	commands := newCommandLog(cluster)
+	commands := newProposalTracker(cluster)
 	commands.proposeUntilApplied(cluster.hosts["a"])
 	h := cluster.hosts["b"]
 	frame := func(kind byte, body string) []byte {
@@ -336,7 +337,7 @@
 		return append(out, body...)
 	}
 	hello := frame(frameHello, `{"protocol":1,"label":"test","name":"x","id":5}`)
-	for what, raw := range map[string][]byte{
+	for name, raw := range map[string][]byte{
 		"garbage":                       []byte("GET / HTTP/1.1\r\n\r\n"),
 		"another fleet":                 frame(frameHello, `{"protocol":1,"label":"other"}`),
 		"another protocol":              frame(frameHello, `{"protocol":7,"label":"test"}`),
@@ -355,42 +356,42 @@
 		}
 		c.Write(raw)
 		c.(*net.TCPConn).CloseWrite()
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(waitTimeout))
 		if n, err := c.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: was answered, or not closed: %d bytes, %v", what, n, err)
+			t.Errorf("%s: got a response, or the connection stayed open: read %d bytes, %v", name, n, err)
 		}
 		c.Close()
 	}
 	a := h.handleRequest(timeoutContext(t), request{Kind: "propose", Group: "g", From: "stranger"})
-	if !strings.Contains(a.Err, "no member") {
-		t.Errorf("a proposal of a stranger: %+v", a)
+	if !strings.Contains(a.Err, "is not a member") {
+		t.Errorf("proposal from a member outside the view: %+v", a)
 	}
 	a = h.handleRequest(timeoutContext(t), request{Kind: "dance", Group: "g"})
-	if !strings.Contains(a.Err, "is no call") {
-		t.Errorf("an unknown request: %+v", a)
+	if !strings.Contains(a.Err, "unknown request kind") {
+		t.Errorf("request of an unknown kind: %+v", a)
 	}
 	h.deliver("none", &raftpb.Message{})
-	h.deliver("g", &raftpb.Message{}) // to no disk
+	h.deliver("g", &raftpb.Message{}) // addressed to no replica
 	commands.checkAt("b")
 }
 
 func TestOptionsCheckNamesTheWrongSetting(t *testing.T) {
-	good := Options{Dir: "x", Replicas: 3, BootstrapExpect: 3, MaxLearnerLag: 1, HeartbeatInterval: 1,
+	valid := Options{Dir: "x", Replicas: 3, BootstrapExpect: 3, MaxLearnerLag: 1, HeartbeatInterval: 1,
 		ElectionTimeout: 2, SnapshotEntries: 1, SnapshotBytes: 1}
-	if err := good.Check(); err != nil {
+	if err := valid.Check(); err != nil {
 		t.Fatal(err)
 	}
-	for says, spoil := range map[string]func(*Options){
+	for setting, invalidate := range map[string]func(*Options){
 		"ledger.replicas": func(o *Options) { o.Replicas = 2 }, "ledger.data": func(o *Options) { o.Dir = "" },
 		"ledger.expect":    func(o *Options) { o.BootstrapExpect = 1 },
 		"ledger.election":  func(o *Options) { o.ElectionTimeout = 1 },
 		"ledger.catch_up":  func(o *Options) { o.MaxLearnerLag = 0 },
 		"ledger.snapshot_": func(o *Options) { o.SnapshotBytes = 0 },
 	} {
-		o := good
-		spoil(&o)
-		if err := o.Check(); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%v, not %q", err, says)
+		o := valid
+		invalidate(&o)
+		if err := o.Check(); err == nil || !strings.Contains(err.Error(), setting) {
+			t.Errorf("error is %v, which does not name %q", err, setting)
 		}
 	}
 }
--- a/internal/cluster/raftgroup/inbound.go
+++ b/internal/cluster/raftgroup/inbound.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// maxInboundConns bounds the connections of other members at once.
+	// maxInboundConns bounds the simultaneous connections from other members.
 	maxInboundConns = 256
-	// acceptRetryInterval is between attempts to accept after one failed, such as for want of descriptors.
+	// acceptRetryInterval is the delay after a failed accept, for example for lack of file descriptors.
 	acceptRetryInterval = 5 * time.Millisecond
 )
 
-// accept serves other members' connections, each in a goroutine of its own, until the network closes. Beyond
-// maxInboundConns a connection is closed at once. It is called once, by a goroutine of the Host.
+// accept serves connections from other members, each in a goroutine of its own, until the network is closed.
+// Connections beyond maxInboundConns are closed immediately. It is called once, in a goroutine of the Host.
 func (n *network) accept() {
-	slots := make(chan struct{}, maxInboundConns) // holds a value for each connection that is served
+	slots := make(chan struct{}, maxInboundConns) // holds one value for each connection being served
 	for {
 		conn, err := n.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// logClosed logs why an inbound connection ended, unless one of the sides closed it as usual.
+// logClosed logs why an inbound connection ended, unless one of the two sides closed it normally.
 func (n *network) logClosed(conn net.Conn, err error) {
 	if err == nil || errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 		return
@@ -61,8 +61,8 @@
 		"why", err.Error())
 }
 
-// trackInbound has close end a connection and wait for its goroutine, which has to call goroutines.Done. It
-// returns false, with the connection closed, if the network is closed.
+// trackInbound registers a connection, so that close closes it and waits for its goroutine, which has to call
+// goroutines.Done. If the network is already closed, it closes the connection and returns false.
 func (n *network) trackInbound(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,9 +73,9 @@
 	return true
 }
 
-// serveConn reads a connection's hello and handles its frames one after the other. It returns nil once the
-// connection was idle for idleTimeout, else why it can't go on: io.EOF where the other side closed it between
-// two frames. A malformed frame ends the connection, as nothing after it can be trusted.
+// serveConn reads the hello of a connection and handles the frames after it one by one. It returns nil once
+// the connection was idle for idleTimeout, and otherwise the error that ended it: io.EOF if the other side
+// closed it between two frames. A malformed frame ends the connection, as nothing after it can be trusted.
 func (n *network) serveConn(conn net.Conn) error {
 	in := bufio.NewReader(conn)
 	conn.SetReadDeadline(time.Now().Add(helloTimeout))
@@ -97,7 +97,8 @@
 	}
 }
 
-// readHello reads a connection's first frame; an error where it is of another fleet or protocol.
+// readHello reads a connection's first frame. It returns an error if that is not a hello of this fleet and
+// protocol version.
 func (n *network) readHello(in *bufio.Reader) error {
 	kind, body, err := readFrame(in, maxHelloSize)
 	if err != nil {
@@ -105,16 +106,16 @@
 	}
 	var peer hello
 	if kind != frameHello || json.Unmarshal(body, &peer) != nil {
-		return errors.New("it does not begin with a hello")
+		return errors.New("the first frame is not a valid hello")
 	}
 	if peer.Label != n.host.opts.Label || peer.Protocol != protocolVersion {
-		return fmt.Errorf("it is of the fleet %q with protocol %d; this is %q with %d", peer.Label,
+		return fmt.Errorf("peer has fleet label %q and protocol version %d, expected %q and %d", peer.Label,
 			peer.Protocol, n.host.opts.Label, protocolVersion)
 	}
 	return nil
 }
 
-// handleFrame handles one frame after the hello. Raft messages get no response.
+// handleFrame handles a frame that follows the hello. Raft messages get no response.
 func (n *network) handleFrame(conn net.Conn, kind byte, body []byte) error {
 	switch kind {
 	case frameRaft:
@@ -122,29 +123,29 @@
 	case frameRequest:
 		return n.answer(conn, body)
 	}
-	return fmt.Errorf("kind %d is no frame", kind)
+	return fmt.Errorf("unknown frame kind %d", kind)
 }
 
-// handleRaftMessage hands a frame's Raft message to its group.
+// handleRaftMessage decodes a frame's Raft message and delivers it to its group.
 func (n *network) handleRaftMessage(body []byte) error {
 	if len(body) < 1 || len(body) < 1+int(body[0]) {
-		return errors.New("a message truncated in its group's name")
+		return errors.New("raft message frame is truncated in the group's name")
 	}
 	nameEnd := 1 + int(body[0])
 	msg := &raftpb.Message{}
 	if err := proto.Unmarshal(body[nameEnd:], msg); err != nil {
-		return fmt.Errorf("a message that does not decode: %w", err)
+		return fmt.Errorf("decode raft message: %w", err)
 	}
 	n.host.deliver(string(body[1:nameEnd]), msg)
 	return nil
 }
 
-// answer answers a frame's request, within the time that its caller waits. Further frames of the connection
-// wait meanwhile: a caller has one request at a time on it.
+// answer handles the request in a frame and writes the response, within the caller's timeout. Further frames
+// on the connection wait meanwhile, as a caller sends one request at a time on a connection.
 func (n *network) answer(conn net.Conn, body []byte) error {
 	var req request
 	if err := json.Unmarshal(body, &req); err != nil {
-		return fmt.Errorf("a request that does not decode: %w", err)
+		return fmt.Errorf("decode request: %w", err)
 	}
 	timeout := min(max(time.Duration(req.TimeoutMS)*time.Millisecond, time.Millisecond), maxCallTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
--- a/internal/cluster/raftgroup/network.go
+++ b/internal/cluster/raftgroup/network.go
@@ -13,40 +13,41 @@
 const (
 	dialTimeout  = time.Second
 	writeTimeout = 3 * time.Second
-	// helloTimeout bounds how long the hello of an inbound connection is waited for.
+	// helloTimeout bounds the wait for the hello on an inbound connection.
 	helloTimeout = dialTimeout + writeTimeout
-	// idleTimeout is how long an inbound connection without a frame stays open.
+	// idleTimeout is how long an inbound connection stays open without receiving a frame.
 	idleTimeout = time.Minute
-	// staleAddresses is how many addresses of replicas outside the view are kept, beside one for each member.
-	staleAddresses = 64
+	// maxStaleAddresses is how many addresses of replicas outside the view are kept, in addition to one for
+	// each member of the view.
+	maxStaleAddresses = 64
 )
 
-// network is the connections between this member and the others, of three kinds:
+// network manages the connections between this member and the others. There are three kinds:
 //
 //   - one to each replica that Raft messages are sent to, each with a goroutine of its own (sender.go);
-//   - a small pool to each member that requests are sent to (rpc.go);
+//   - a small pool of connections to each member that requests are sent to (rpc.go);
 //   - inbound ones, each with a goroutine of its own (inbound.go).
 //
-// Every open connection is in conns, so that close ends it. A network is open, then closed: newNetwork
-// listens, accept serves what comes in, close ends both for good. Its methods may be called from any
-// goroutine, and none of them calls a Host or a group while it holds mu.
+// Every open connection is in conns, so that close can close it. A network is first open, then closed:
+// newNetwork listens, accept serves inbound connections, and close ends both permanently. Methods may be
+// called from any goroutine, and none of them calls a Host or a group while it holds mu.
 type network struct {
 	host     *Host
 	listener net.Listener
 	dialer   proxy.ContextDialer
 
 	mu        sync.Mutex
-	addresses map[uint64]string     // host:port that replicas are reached at, by replica ID
-	senders   map[uint64]*sender    // those that run, by replica ID
-	idleConns map[string][]net.Conn // the pools, by address; the last one was used last
-	conns     map[net.Conn]bool     // all that are open, a set
+	addresses map[uint64]string     // host:port of the replicas, by replica ID
+	senders   map[uint64]*sender    // running senders, by replica ID
+	idleConns map[string][]net.Conn // the pools, by address; the most recently used one is last
+	conns     map[net.Conn]bool     // the set of all open connections
 	closed    bool
 
 	stop       chan struct{}  // closed by close
 	goroutines sync.WaitGroup // Add is called with mu held and only while the network is not closed
 }
 
-// newNetwork listens at the address of the options. Connections wait until accept runs.
+// newNetwork listens at the address in the options. Connections are not accepted until accept runs.
 func newNetwork(h *Host) (*network, error) {
 	n := &network{host: h, addresses: map[uint64]string{}, senders: map[uint64]*sender{},
 		idleConns: map[string][]net.Conn{}, conns: map[net.Conn]bool{}, stop: make(chan struct{})}
@@ -64,7 +65,7 @@
 	return n, err
 }
 
-// setAddresses takes over where the members of the view listen. Addresses of replicas that left the view are
+// setAddresses updates the replicas' addresses from the view. Addresses of replicas that left the view are
 // kept, for messages still to be sent to them, until there are too many.
 func (n *network) setAddresses(peers []Peer) {
 	n.mu.Lock()
@@ -74,7 +75,7 @@
 			n.addresses[peer.ReplicaID] = peer.Address
 		}
 	}
-	limit := 2*len(peers) + staleAddresses
+	limit := 2*len(peers) + maxStaleAddresses
 	for id := range n.addresses {
 		if len(n.addresses) > limit && n.senders[id] == nil {
 			delete(n.addresses, id)
@@ -82,7 +83,7 @@
 	}
 }
 
-// address returns where a replica is reached; "" if that is not known.
+// address returns the host:port at which a replica is reached, or "" if that is unknown.
 func (n *network) address(replicaID uint64) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,7 +103,8 @@
 	n.goroutines.Wait()
 }
 
-// track has close end a connection. It returns false, with the connection closed, if the network is closed.
+// track registers a connection, so that close closes it. If the network is already closed, it closes the
+// connection and returns false.
 func (n *network) track(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +120,7 @@
 	return true
 }
 
-// closeConn closes a tracked connection and drops it from the tracked ones.
+// closeConn closes a tracked connection and stops tracking it.
 func (n *network) closeConn(conn net.Conn) {
 	conn.Close()
 	n.mu.Lock()
@@ -126,8 +128,8 @@
 	delete(n.conns, conn)
 }
 
-// dial opens a tracked connection to a member and sends the hello, which the other side does not answer. The
-// caller closes it with closeConn.
+// dial opens a tracked connection to a member and sends the hello, which is not answered. The caller closes
+// the connection with closeConn.
 func (n *network) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/internal/cluster/raftgroup/raftlogger.go
+++ b/internal/cluster/raftgroup/raftlogger.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// raftLogger is raft's logger: at debug, but errors as warnings. What raft finds fatal panics, which stops
-// the replica alone (run).
+// raftLogger is the logger for raft: it logs raft's errors at level warning and everything else at level
+// debug. Fatal and Panic panic, which stops only this replica (group.run).
 type raftLogger struct{ log *slog.Logger }
 
 func (l raftLogger) Debug(v ...any) { l.log.Debug("ledger: raft", "says", fmt.Sprint(v...)) }
--- a/internal/cluster/raftgroup/ready.go
+++ b/internal/cluster/raftgroup/ready.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	minDiskBackoff = 100 * time.Millisecond
-	maxDiskBackoff = time.Second
-	slowSync       = 100 * time.Millisecond // longer ones are counted
+	minDiskBackoff    = 100 * time.Millisecond
+	maxDiskBackoff    = time.Second
+	slowSyncThreshold = 100 * time.Millisecond // writes that take longer are counted in GroupStats.SlowSyncs
 )
 
-// handleReady carries out what raft wants, until it wants nothing more: for each Ready first the writes to
-// disk, then the messages, then the entries to the state machine. It returns false if the group is stopped
-// while the disk takes no writes. Called by the group's goroutine, as is all in this file.
+// handleReady processes raft's Readies until there are no more. For each one it first writes to disk, then
+// sends the messages, then applies the committed entries. It returns false if the group is stopped while disk
+// writes fail. Called by the group's goroutine, like everything in this file.
 func (g *group) handleReady() bool {
 	for g.rawNode.HasReady() {
 		ready := g.rawNode.Ready()
@@ -28,7 +28,7 @@
 				return false
 			}
 		case !raft.IsEmptyHardState(ready.HardState):
-			// A higher commit index alone, which a restart learns again.
+			// Only the commit index rose. It is not stored, as the replica learns it again after a restart.
 			g.setHardState(ready.HardState)
 		}
 		g.host.send(g.name, ready.Messages)
@@ -41,8 +41,9 @@
 	return true
 }
 
-// mustPersist reports whether a Ready has to be on disk before it is acted on. A membership change has to be
-// there as committed: a replica that forgot it would, after a restart, wait for votes of former voters.
+// mustPersist reports whether a Ready must be on disk before it is acted on. A membership change must be
+// stored as committed: a replica that forgot the change would wait for the votes of former voters after a
+// restart.
 func mustPersist(ready *raft.Ready) bool {
 	confChange := slices.ContainsFunc(ready.CommittedEntries, func(entry *raftpb.Entry) bool {
 		return entry.GetType() != raftpb.EntryNormal
@@ -50,13 +51,14 @@
 	return ready.MustSync || confChange || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot)
 }
 
-// applyReady applies a Ready's snapshot and committed entries, and notes confirmed read indexes.
+// applyReady applies the snapshot and the committed entries of a Ready, and records its confirmed read
+// indexes.
 func (g *group) applyReady(ready *raft.Ready) {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := g.restoreSnapshot(ready.Snapshot); err != nil {
-			panic(err) // stops this replica (run): there is no state to go on from
+			panic(err) // stops this replica (run), which has no state to continue from
 		}
-		g.stats.Restored++
+		g.stats.SnapshotsInstalled++
 		g.snapshotIndex = g.appliedIndex
 		g.log.Info("ledger: snapshot of the leader installed", "index", g.appliedIndex)
 	}
@@ -72,49 +74,51 @@
 	}
 }
 
-// persist stores a Ready, again until it succeeds. Meanwhile the group answers nobody: as a leader it sends
-// no heartbeats, so that the others elect one whose disk works. False where the group is stopped first.
+// persist stores a Ready, retrying until it succeeds. Until then the group sends no messages: a leader sends
+// no heartbeats, so that the others elect one whose disk works. It returns false if the group is stopped
+// first.
 func (g *group) persist(ready *raft.Ready) bool {
 	for backoff := minDiskBackoff; ; backoff = min(2*backoff, maxDiskBackoff) {
 		start := time.Now()
 		logBytes, err := g.host.store.save(g.name, ready)
-		if time.Since(start) > slowSync {
+		if time.Since(start) > slowSyncThreshold {
 			g.stats.SlowSyncs++
 		}
 		if err == nil {
-			g.persisted(ready, logBytes)
+			g.handlePersisted(ready, logBytes)
 			return true
 		}
-		g.diskFailed(err)
-		if !g.waitForDisk(backoff) {
+		g.handleDiskError(err)
+		if !g.waitBeforeDiskRetry(backoff) {
 			return false
 		}
 	}
 }
 
-// persisted takes a stored Ready, of so many bytes of log, over into raft's storage.
-func (g *group) persisted(ready *raft.Ready, logBytes int64) {
+// handlePersisted updates raft's storage with a Ready that was stored and added logBytes to the log.
+func (g *group) handlePersisted(ready *raft.Ready, logBytes int64) {
 	if g.diskErr != nil {
 		g.log.Info("ledger: disk writes succeed again")
 		g.diskErr = nil
 	}
 	g.logBytes += logBytes
 	if !raft.IsEmptySnap(ready.Snapshot) {
-		_ = g.storage.ApplySnapshot(ready.Snapshot) // fails for an old snapshot alone, which raft ignores itself
+		_ = g.storage.ApplySnapshot(ready.Snapshot) // fails only for an old snapshot, which raft ignores
 		g.logBytes = logBytes
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
 		g.setHardState(ready.HardState)
 	}
-	_ = g.storage.Append(ready.Entries) // never fails: it panics on a gap
+	_ = g.storage.Append(ready.Entries) // returns no error: it panics on a gap
 }
 
 func (g *group) setHardState(hardState *raftpb.HardState) {
-	_ = g.storage.SetHardState(hardState) // never fails
+	_ = g.storage.SetHardState(hardState) // never fails for a MemoryStorage
 }
 
-// diskFailed notes a failed write. At the first one calls fail: those proposed may or may not be committed.
-func (g *group) diskFailed(err error) {
+// handleDiskError counts a failed write. On the first failure it also ends the waiting calls: commands
+// already proposed may or may not be committed.
+func (g *group) handleDiskError(err error) {
 	g.stats.DiskErrors++
 	if g.diskErr != nil {
 		return
@@ -125,9 +129,9 @@
 	g.failPending(ErrOutcomeUnknown)
 }
 
-// waitForDisk waits before a write is attempted again: calls are rejected, messages dropped. False where the
-// group is stopped.
-func (g *group) waitForDisk(backoff time.Duration) bool {
+// waitBeforeDiskRetry waits before a write is retried. Meanwhile it runs queued tasks, in which proposals and
+// linearizable reads are rejected, and drops inbound messages. It returns false if the group is stopped.
+func (g *group) waitBeforeDiskRetry(backoff time.Duration) bool {
 	timer := time.NewTimer(backoff)
 	defer timer.Stop()
 	for {
@@ -143,7 +147,8 @@
 	}
 }
 
-// updateLeader follows changes of leadership. Calls to a leader that was deposed fail.
+// updateLeader records changes of leadership. If this replica was deposed as the leader, its waiting calls
+// fail.
 func (g *group) updateLeader() {
 	status := g.rawNode.BasicStatus()
 	isLeader := status.RaftState == raft.StateLeader
@@ -151,15 +156,15 @@
 		g.failPending(ErrOutcomeUnknown)
 	}
 	g.isLeader = isLeader
-	if status.Lead == g.lead {
+	if status.Lead == g.leaderID {
 		return
 	}
-	g.lead = status.Lead
+	g.leaderID = status.Lead
 	term := status.HardState.GetTerm()
-	if g.lead == raft.None {
+	if g.leaderID == raft.None {
 		g.log.Warn("ledger: leader lost", "term", term)
 		return
 	}
 	g.stats.Elections++
-	g.log.Info("ledger: leader elected", "leader", g.memberNames[g.lead], "term", term, "here", isLeader)
+	g.log.Info("ledger: leader elected", "leader", g.memberNames[g.leaderID], "term", term, "here", isLeader)
 }
--- a/internal/cluster/raftgroup/reconfigure.go
+++ b/internal/cluster/raftgroup/reconfigure.go
@@ -12,29 +12,29 @@
 	"cresshub/internal/cluster/placement"
 )
 
-// confChangeTypes are raft's types of placement's changes.
+// confChangeTypes maps the changes of package placement to raft's types.
 var confChangeTypes = map[placement.ChangeKind]raftpb.ConfChangeType{
 	placement.AddLearner: raftpb.ConfChangeAddLearnerNode,
 	placement.Promote:    raftpb.ConfChangeAddNode,
 	placement.Remove:     raftpb.ConfChangeRemoveNode,
 }
 
-// confChangeTimeouts is after how many election timeouts a membership change that was not applied counts as
-// lost.
-const confChangeTimeouts = 10
+// confChangeTimeoutFactor is the number of election timeouts after which a proposed membership change that
+// was not applied counts as lost.
+const confChangeTimeoutFactor = 10
 
-// handoverPollInterval is how often a leader that transfers its leadership looks whether it still has it.
-const handoverPollInterval = 10 * time.Millisecond
+// transferPollInterval is how often transferLeadership checks whether this replica still leads.
+const transferPollInterval = 10 * time.Millisecond
 
-// reconcilePlacement proposes, on the leader, the next membership change that package placement wants. One is
-// under way at a time; a proposal that was lost is made again. Called by the group's goroutine.
+// reconcilePlacement proposes, on the leader, the next membership change that package placement asks for. At
+// most one change is pending at a time; a lost proposal is made again. Called by the group's goroutine.
 func (g *group) reconcilePlacement() {
 	status := g.rawNode.Status()
 	if status.RaftState != raft.StateLeader || g.host.view == nil {
 		return
 	}
-	retryAfter := confChangeTimeouts * g.host.opts.ElectionTimeout
-	if !g.confChangeProposed.IsZero() && time.Since(g.confChangeProposed) < retryAfter {
+	retryAfter := confChangeTimeoutFactor * g.host.opts.ElectionTimeout
+	if !g.confChangeProposedAt.IsZero() && time.Since(g.confChangeProposedAt) < retryAfter {
 		return
 	}
 	current := g.placementGroup(&status)
@@ -55,26 +55,26 @@
 		g.log.Debug("ledger: membership change not proposed", "err", err)
 		return
 	}
-	g.confChangeProposed = time.Now()
+	g.confChangeProposedAt = time.Now()
 }
 
-// placementGroup is the group as package placement reads it.
+// placementGroup returns the group in the form in which package placement takes it.
 func (g *group) placementGroup(status *raft.Status) placement.Group {
-	last, _ := g.storage.LastIndex() // never fails in memory
+	last, _ := g.storage.LastIndex() // never fails for a MemoryStorage
 	current := placement.Group{Name: g.name, Leader: g.host.store.id, LastIndex: last}
 	for id, progress := range status.Progress {
 		current.Replicas = append(current.Replicas, placement.Replica{ID: id, Name: g.memberNames[id],
 			Learner: progress.IsLearner, Match: progress.Match})
 	}
-	// An order that does not depend on the map's.
+	// Sorted, so that the order does not depend on the map's.
 	slices.SortFunc(current.Replicas, func(a, b placement.Replica) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID))
 	})
 	return current
 }
 
-// startLeaderTransfer has raft transfer leadership to the live voter whose log is the longest. It returns
-// false if this replica does not lead or there is no such voter. Called by the group's goroutine.
+// startLeaderTransfer starts a leadership transfer to the recently active voter with the longest log. It
+// returns false if this replica is not the leader or there is no such voter. Called by the group's goroutine.
 func (g *group) startLeaderTransfer() bool {
 	status := g.rawNode.Status()
 	if status.RaftState != raft.StateLeader {
@@ -93,8 +93,8 @@
 	return best != raft.None
 }
 
-// transferLeadership transfers leadership, where this replica has it, and waits until it has not, for about
-// twice timeout at most. It may be called from any goroutine but the group's.
+// transferLeadership transfers leadership to another replica, if this one has it, and waits until it has lost
+// it, for at most about twice timeout. It may be called from any goroutine but the group's.
 func (g *group) transferLeadership(timeout time.Duration) {
 	started := make(chan bool, 1)
 	if g.enqueue(func() { started <- g.diskErr == nil && g.startLeaderTransfer() }) != nil {
@@ -110,14 +110,15 @@
 			return
 		}
 	}
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(handoverPollInterval) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(transferPollInterval) {
 		if !g.leads() {
 			return
 		}
 	}
 }
 
-// leads reports whether this replica leads its group; false once the group has stopped or is too busy to say.
+// leads reports whether this replica is the leader; false if the group has stopped or can't queue the
+// question.
 func (g *group) leads() bool {
 	answer := make(chan bool, 1)
 	if g.enqueue(func() { answer <- g.isLeader }) != nil {
--- a/internal/cluster/raftgroup/roster.go
+++ b/internal/cluster/raftgroup/roster.go
@@ -8,14 +8,14 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Roster is the replicas of a group, as its leader lists them. It crosses between members as JSON.
+// Roster lists the replicas of a group as its leader knows them. Members exchange it as JSON.
 type Roster struct {
-	Disks   []uint64 `json:"disks"`   // replica IDs of voters and learners
-	Applied uint64   `json:"applied"` // the leader's applied index
+	ReplicaIDs []uint64 `json:"disks"`   // of voters and learners
+	Applied    uint64   `json:"applied"` // the leader's applied index
 }
 
-// roster lists the group's replicas, on its leader; ErrNotLeader elsewhere. It may be called from any
-// goroutine.
+// roster lists the group's replicas if this replica is the leader; otherwise the error is ErrNotLeader. It
+// may be called from any goroutine.
 func (g *group) roster(ctx context.Context) (any, error) {
 	return g.call(ctx, func(out chan outcome) {
 		if g.rawNode.BasicStatus().RaftState != raft.StateLeader {
@@ -23,36 +23,37 @@
 			return
 		}
 		roster := Roster{Applied: g.appliedIndex}
-		roster.Disks = append(append(roster.Disks, g.confState.GetVoters()...), g.confState.GetLearners()...)
+		roster.ReplicaIDs = append(append(roster.ReplicaIDs, g.confState.GetVoters()...),
+			g.confState.GetLearners()...)
 		out <- outcome{result: roster}
 	})
 }
 
-// removeStaleReplicas removes replicas of this member that left their group while they were unreachable. No
-// leader sends to such a replica any more, so that it never receives the change that removed it. Called by
-// maintainGroups.
+// removeStaleReplicas removes replicas of this member that were removed from their group while they were
+// unreachable. Leaders no longer send to such a replica, so it never receives the membership change that
+// removed it. Called by maintainGroups.
 func (h *Host) removeStaleReplicas() {
 	for _, name := range h.opts.Groups {
 		g := h.group(name)
 		if g != nil && h.isStale(name) {
-			_ = g.enqueue(func() { g.removed = true }) // attempted again at the next look where it is busy
+			_ = g.enqueue(func() { g.removed = true }) // if the group is busy, the next round tries again
 		}
 	}
 }
 
-// isStale reports whether this member's replica of a group was removed from it without learning so: it
-// receives nothing of a leader, and a leader that applied more than it does not list it. A leader that
-// applied as much or less may not know yet that this replica was added.
+// isStale reports whether this member's replica was removed from its group without learning of it: it
+// receives nothing from a leader, and a leader with a higher applied index does not list it. A leader whose
+// applied index is not higher may not have applied yet that this replica was added.
 func (h *Host) isStale(name string) bool {
 	status := h.Status(name)
 	if status.Role == RoleNone || !status.Leaderless {
 		return false
 	}
 	roster, err := h.requestRoster(name)
-	return err == nil && !slices.Contains(roster.Disks, h.store.id) && roster.Applied > status.Applied
+	return err == nil && !slices.Contains(roster.ReplicaIDs, h.store.id) && roster.Applied > status.Applied
 }
 
-// requestRoster asks the members for the roster of a group, which its leader answers.
+// requestRoster asks the members for the roster of a group until the group's leader answers.
 func (h *Host) requestRoster(name string) (Roster, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), h.opts.ElectionTimeout)
 	defer cancel()
--- a/internal/cluster/raftgroup/rpc.go
+++ b/internal/cluster/raftgroup/rpc.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// maxIdleConnsPerMember bounds the connections kept for later requests to one member.
+	// maxIdleConnsPerMember bounds the idle connections kept for further requests to one member.
 	maxIdleConnsPerMember = 4
-	// maxCallTimeout bounds how long a request without a deadline is waited for, and how long the member that
-	// answers one works on it.
+	// maxCallTimeout bounds how long call waits if its context has no deadline, and how long a member works
+	// on a request.
 	maxCallTimeout = time.Minute
-	// idleCheckTimeout bounds the read that finds out whether an idle connection was closed by the other side.
+	// idleCheckTimeout bounds the read that checks whether the other side has closed an idle connection.
 	idleCheckTimeout = 100 * time.Microsecond
 )
 
-// errUnreachable is the error of a request that the member certainly did not receive.
+// errUnreachable is returned for a request that the member certainly did not receive.
 var errUnreachable = errors.New("the member was not reached")
 
-// call sends a request to a member and reads the response into resp, until ctx ends; where ctx has no
-// deadline, for maxCallTimeout at most. The error is errUnreachable if the member certainly did not receive
-// the request; after any other it may have carried it out. An error that the member answers with is in resp,
+// call sends a request to a member and reads the response into resp, until ctx ends; if ctx has no deadline,
+// within maxCallTimeout. The error is errUnreachable if the member certainly did not receive the request;
+// after any other error the member may have executed it. An error reported by the member is in resp and is
 // not returned.
 func (n *network) call(ctx context.Context, address string, req request, resp *response) error {
 	deadline, ok := ctx.Deadline()
@@ -50,12 +50,14 @@
 		n.putIdle(address, conn)
 		return nil
 	}
-	// Where the deadline is being set, it could come as late as in the next call on the connection.
+	// A call of SetDeadline that has begun may take effect as late as during the next call on this
+	// connection.
 	n.closeConn(conn)
 	return err
 }
 
-// roundTrip writes an encoded request and reads the response. After an error the connection is of no use.
+// roundTrip writes an encoded request and reads the response. After an error the connection must not be used
+// again.
 func roundTrip(conn net.Conn, raw []byte, resp *response) error {
 	if err := writeFrame(conn, frameRequest, raw); err != nil {
 		return err
@@ -65,13 +67,13 @@
 		return err
 	}
 	if kind != frameResponse || json.Unmarshal(body, resp) != nil {
-		return errors.New("a response that does not decode")
+		return errors.New("invalid response frame")
 	}
 	return nil
 }
 
-// takeIdle takes the connection to a member that was used last out of the pool, and closes those that the
-// other side has closed. It returns nil if none is left.
+// takeIdle removes the most recently used open connection to a member from the pool, and closes those before
+// it that the other side has closed. It returns nil if none is left.
 func (n *network) takeIdle(address string) net.Conn {
 	for {
 		conn := n.popIdle(address)
@@ -82,7 +84,7 @@
 	}
 }
 
-// popIdle takes a connection out of the pool as it is; nil if the pool is empty.
+// popIdle removes a connection from the pool without checking it. It returns nil if the pool is empty.
 func (n *network) popIdle(address string) net.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,9 +97,9 @@
 	return idle[last]
 }
 
-// isOpen reports whether the other side has left an idle connection open. Nothing was asked on it, so that a
-// read that ends by anything but its timeout means that the connection was closed or can't be used. It leaves
-// a read deadline that has passed.
+// isOpen reports whether the other side has left an idle connection open. No request is pending on it, so
+// that a read that ends by anything but its timeout means that the connection was closed or can't be used.
+// The read deadline that isOpen leaves on the connection has passed.
 func isOpen(conn net.Conn) bool {
 	conn.SetReadDeadline(time.Now().Add(idleCheckTimeout))
 	var buf [1]byte
@@ -105,7 +107,7 @@
 	return isTimeout(err)
 }
 
-// putIdle puts a connection into the pool, or closes it if the pool is full or the network closed.
+// putIdle returns a connection to the pool, or closes it if the pool is full or the network is closed.
 func (n *network) putIdle(address string, conn net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/raftgroup/sender.go
+++ b/internal/cluster/raftgroup/sender.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// sendQueueSize is how many Raft messages may be queued for one replica.
+	// sendQueueSize is the number of Raft messages that may be queued for one replica.
 	sendQueueSize = 1024
 	// unreachableBackoff is how long nothing is sent to a replica after a failed dial or write.
 	unreachableBackoff = 100 * time.Millisecond
-	// senderIdleTimeout ends a sender that had nothing to send. It is below idleTimeout, after which the other
-	// side closes the connection.
+	// senderIdleTimeout is how long a sender without messages keeps running. It is below idleTimeout, after
+	// which the other side closes the connection.
 	senderIdleTimeout = idleTimeout / 2
-	// snapshotWriteTimeout replaces writeTimeout for messages over largeMessage bytes, which hold snapshots.
+	// snapshotWriteTimeout replaces writeTimeout for messages larger than largeMessageBytes, which hold
+	// snapshots.
 	snapshotWriteTimeout = time.Minute
-	largeMessage         = 1 << 20
+	largeMessageBytes    = 1 << 20
 )
 
-// outboundMsg is a Raft message of a group that waits to be sent.
+// outboundMsg is a Raft message of a group that is queued for sending.
 type outboundMsg struct {
 	group string
 	msg   *raftpb.Message
@@ -30,24 +31,25 @@
 
 // sender sends the Raft messages of all groups to one replica ID, in order, over one connection.
 //
-// network.send starts one with the first message to a replica and puts it into network.senders; it ends once
-// it had nothing to send for senderIdleTimeout, or with the network. In between it is connected or not: it
-// dials for the first message, and again for the first one after a failure or after the replica's address
-// changed. Messages are lost where the queue is full, after a failure, and when the connection breaks; raft
-// sends again what was not acknowledged, and is told of lost snapshots, without which it would send a replica
-// nothing more.
+// network.send starts a sender with the first message to a replica and adds it to network.senders. The sender
+// ends when it had nothing to send for senderIdleTimeout, or when the network is closed. In between it is
+// connected or not: it dials for the first message, and again for the first message after a failure or after
+// the replica's address changed. Messages are lost if the queue is full, after a failure, and when the
+// connection breaks. Raft sends again what was not acknowledged. Lost snapshots are reported to it, as it
+// would otherwise send that replica nothing more.
 type sender struct {
-	net   *network
-	to    uint64           // replica ID
-	queue chan outboundMsg // written with network.mu held, read by run
+	net       *network
+	replicaID uint64           // of the receiving replica
+	queue     chan outboundMsg // written with network.mu held, read by run
 
 	// Owned by run.
 	conn    net.Conn // nil while not connected
-	address string   // that conn was dialed at
+	address string   // at which conn was dialed
 }
 
-// send queues a message for its receiver. It returns false if the message can't be sent now: the receiver's
-// address is not known, its queue is full, or the network is closed. It never blocks on the network.
+// send queues a message for the replica that it is addressed to. It returns false if the message can't be
+// queued: the replica's address is unknown, its queue is full, or the network is closed. It never waits for
+// network I/O.
 func (n *network) send(group string, msg *raftpb.Message) bool {
 	to := msg.GetTo()
 	n.mu.Lock()
@@ -68,7 +70,7 @@
 }
 
 func (n *network) startSenderLocked(to uint64) *sender {
-	s := &sender{net: n, to: to, queue: make(chan outboundMsg, sendQueueSize)}
+	s := &sender{net: n, replicaID: to, queue: make(chan outboundMsg, sendQueueSize)}
 	n.senders[to] = s
 	n.goroutines.Add(1)
 	go s.run()
@@ -99,22 +101,22 @@
 	}
 }
 
-// retire takes the sender out of the network, so that the next message starts another one. It returns false,
-// and the sender goes on, if a message was queued meanwhile.
+// retire removes the sender from the network, so that the next message starts another one. If a message was
+// queued meanwhile, it returns false and the sender continues.
 func (s *sender) retire() bool {
 	s.net.mu.Lock()
 	defer s.net.mu.Unlock()
 	if len(s.queue) > 0 {
 		return false
 	}
-	delete(s.net.senders, s.to)
+	delete(s.net.senders, s.replicaID)
 	return true
 }
 
-// deliver writes a message, connecting first where the sender is not connected or its replica moved. It
-// returns false, disconnected, if the message was not written.
+// deliver writes a message, after connecting if the sender is not connected or the replica's address changed.
+// If the message was not written, it disconnects and returns false.
 func (s *sender) deliver(out outboundMsg) bool {
-	address := s.net.address(s.to)
+	address := s.net.address(s.replicaID)
 	if address != s.address {
 		s.disconnect()
 	}
@@ -134,7 +136,7 @@
 		return false
 	}
 	s.conn, s.address = conn, address
-	go closeOnEOF(conn) // ends once the connection is closed, by whichever side
+	go closeOnEOF(conn) // ends when either side closes the connection
 	return true
 }
 
@@ -145,24 +147,24 @@
 	}
 }
 
-// closeOnEOF closes a connection, on which nothing is ever received, once the other side does, so that the
-// next write fails rather than being lost.
+// closeOnEOF closes a connection when the other side closes it, so that the next write fails and its message
+// isn't lost silently. Nothing is ever received on the connection.
 func closeOnEOF(conn net.Conn) {
 	var buf [1]byte
-	_, _ = conn.Read(buf[:]) // whatever ends the read, the connection is no use any more
+	_, _ = conn.Read(buf[:]) // whatever ends the read, the connection can't be used any more
 	conn.Close()
 }
 
-// write writes one message as a frame; false if the connection failed. A message that can't be encoded counts
-// as written, as no attempt would succeed. That a snapshot was written, though not that it was received, is
-// reported to its group.
+// write writes one message as a frame and returns false if the connection failed. A message that can't be
+// encoded counts as written, as no further attempt would succeed. After a snapshot was written, which does
+// not mean that it was received, that is reported to its group.
 func (s *sender) write(conn net.Conn, out outboundMsg) bool {
 	raw, err := proto.Marshal(out.msg)
 	if err != nil {
 		return true
 	}
 	timeout := writeTimeout
-	if len(raw) > largeMessage {
+	if len(raw) > largeMessageBytes {
 		timeout = snapshotWriteTimeout
 	}
 	conn.SetWriteDeadline(time.Now().Add(timeout))
@@ -170,13 +172,13 @@
 		return false
 	}
 	if out.msg.GetType() == raftpb.MsgSnap {
-		s.net.host.reportSnapshotFinish(out.group, s.to)
+		s.net.host.reportSnapshotFinish(out.group, s.replicaID)
 	}
 	return true
 }
 
-// handleFailure reports a message that was not sent to its group, drops what is queued behind it, and backs
-// off.
+// handleFailure reports a message that was not sent to its group, drops the messages queued behind it, and
+// waits for unreachableBackoff.
 func (s *sender) handleFailure(out outboundMsg) {
 	s.net.host.reportUndelivered(out.group, out.msg)
 	s.dropQueued()
@@ -186,8 +188,8 @@
 	}
 }
 
-// dropQueued empties the queue. Dropped snapshots are reported as failed: raft sends a replica nothing until
-// the outcome of a snapshot is reported.
+// dropQueued empties the queue. Dropped snapshots are reported as failed, as raft sends a replica nothing
+// until the outcome of its snapshot is reported.
 func (s *sender) dropQueued() {
 	for {
 		select {
--- a/internal/cluster/raftgroup/snapshot.go
+++ b/internal/cluster/raftgroup/snapshot.go
@@ -9,11 +9,11 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// snapshotCatchUpEntries is how many log entries are kept before a snapshot, for followers that are only
-// slow.
+// snapshotCatchUpEntries is the number of log entries before a snapshot that compaction keeps, so that
+// followers that are only slow can catch up from the log.
 const snapshotCatchUpEntries = 1000
 
-// snapshotState is a snapshot's data, in msgpack.
+// snapshotState is the data of a snapshot, encoded in msgpack.
 type snapshotState struct {
 	MemberNames  map[uint64]string `codec:"Names"` // by replica ID
 	StateMachine []byte            `codec:"Machine"`
@@ -21,9 +21,9 @@
 
 var stateCodec = &codec.MsgpackHandle{}
 
-// onDemandSnapshots is a raft storage that takes a snapshot of the present state when raft needs one for a
-// replica that lags far. The last one on disk may be older than that replica, and a replica accepts no
-// snapshot that does not list it.
+// onDemandSnapshots is a raft storage that takes a snapshot of the current state when raft needs one for a
+// replica that lags far behind. The last snapshot on disk may be older than the addition of that replica, and
+// a replica does not accept a snapshot that does not list it.
 type onDemandSnapshots struct {
 	*raft.MemoryStorage
 	group *group
@@ -39,7 +39,7 @@
 	return snap, nil
 }
 
-// createSnapshot takes a snapshot of the present state into raft's storage.
+// createSnapshot takes a snapshot of the current state and puts it into raft's storage.
 func (g *group) createSnapshot() (*raftpb.Snapshot, error) {
 	raw, err := g.encodeState(g.memberNames)
 	if err != nil {
@@ -47,19 +47,20 @@
 	}
 	snap, err := g.storage.CreateSnapshot(g.appliedIndex, g.confState, raw)
 	if errors.Is(err, raft.ErrSnapOutOfDate) {
-		return g.storage.Snapshot() // nothing was applied since
+		return g.storage.Snapshot() // nothing was applied since the last one
 	}
 	return snap, err
 }
 
-// encodeState encodes the state machine's state, with the members of the replicas, as a snapshot's data.
+// encodeState encodes the state machine's state and the names of the replicas' members as the data of a
+// snapshot.
 func (g *group) encodeState(names map[uint64]string) ([]byte, error) {
 	var raw []byte
 	err := codec.NewEncoderBytes(&raw, stateCodec).Encode(snapshotState{names, g.stateMachine.Snapshot()})
 	return raw, err
 }
 
-// restoreSnapshot replaces the group's state by a snapshot's.
+// restoreSnapshot replaces the group's state by that of a snapshot.
 func (g *group) restoreSnapshot(snap *raftpb.Snapshot) error {
 	g.confState = snap.GetMetadata().GetConfState()
 	if g.confState == nil {
@@ -71,7 +72,7 @@
 	}
 	var state snapshotState
 	if err := codec.NewDecoderBytes(snap.GetData(), stateCodec).Decode(&state); err != nil {
-		return fmt.Errorf("its snapshot does not decode: %w", err)
+		return fmt.Errorf("decode snapshot: %w", err)
 	}
 	if err := g.stateMachine.Restore(state.StateMachine); err != nil {
 		return err
@@ -80,8 +81,9 @@
 	return nil
 }
 
-// maybeCompact takes a snapshot and drops log before it where the log has grown by SnapshotEntries or
-// SnapshotBytes since the last. Called by the group's goroutine between two Readies.
+// maybeCompact takes a snapshot and deletes older log entries if SnapshotEntries entries were applied or the
+// log grew by SnapshotBytes since the last snapshot. Called by the group's goroutine after it has handled all
+// Readies.
 func (g *group) maybeCompact() {
 	opts := &g.host.opts
 	due := g.appliedIndex-g.snapshotIndex >= uint64(opts.SnapshotEntries) || g.logBytes >= opts.SnapshotBytes
@@ -95,19 +97,19 @@
 	}
 	if err != nil {
 		g.log.Warn("ledger: snapshot failed", "err", err)
-		g.logBytes = opts.SnapshotBytes / 2 // attempted again later, not at once
+		g.logBytes = opts.SnapshotBytes / 2 // if the log's size was the trigger, delays the next attempt
 		return
 	}
 	if current, _ := g.storage.FirstIndex(); firstIndex > current {
-		_ = g.storage.Compact(firstIndex - 1) // fails where compacted further already
+		_ = g.storage.Compact(firstIndex - 1) // fails only if already compacted further
 	}
-	g.stats.Snapshots++
+	g.stats.SnapshotsTaken++
 	g.snapshotIndex, g.logBytes = g.appliedIndex, 0
 	g.log.Info("ledger: snapshot taken", "index", g.appliedIndex, "bytes", len(snap.GetData()))
 }
 
-// firstIndexAfterCompaction is the first log entry that remains before a snapshot of the present state. Fewer
-// remain where entries are large, so that they don't fill the disk.
+// firstIndexAfterCompaction returns the index of the first log entry to keep before a snapshot of the current
+// state. Fewer entries are kept if the log reached SnapshotBytes, so that large entries don't fill the disk.
 func (g *group) firstIndexAfterCompaction() uint64 {
 	catchUpEntries := uint64(snapshotCatchUpEntries)
 	if g.logBytes >= g.host.opts.SnapshotBytes {
--- a/internal/cluster/raftgroup/status.go
+++ b/internal/cluster/raftgroup/status.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Status is the state of this member's replica of a group, as the operators' pages show it.
+// Status is the state of this member's replica of a group, as it is shown on the operators' pages.
 type Status struct {
 	Group      string          `json:"group"`
 	Role       Role            `json:"role"`
@@ -19,26 +19,26 @@
 	Commit     uint64          `json:"commit_index"`
 	Applied    uint64          `json:"applied_index"`
 	Snapshot   uint64          `json:"snapshot_index"`
-	LogBytes   int64           `json:"log_bytes"` // since the snapshot
+	LogBytes   int64           `json:"log_bytes"` // size of the log since the last snapshot
 	Voters     []string        `json:"voters"`
 	Learners   []string        `json:"learners,omitempty"`
-	Replicas   []ReplicaStatus `json:"replicas,omitempty"` // on the leader
+	Replicas   []ReplicaStatus `json:"replicas,omitempty"` // only on the leader
 	Disk       string          `json:"disk"`               // ID of this member's replicas
-	Leaderless bool            `json:"silent"`             // no message of a leader was received lately
-	Stalled    string          `json:"stalled,omitempty"`  // why the last write to disk failed
+	Leaderless bool            `json:"silent"`             // neither leads nor lately heard from a leader
+	Stalled    string          `json:"stalled,omitempty"`  // why writes fail or the replica doesn't answer
 	Stats      GroupStats      `json:"figures"`
 }
 
-// ReplicaStatus is what a leader knows of one replica.
+// ReplicaStatus is the state of one replica as known to the leader.
 type ReplicaStatus struct {
 	Member     string `json:"member"`
 	Disk       string `json:"disk"` // replica ID
 	Learner    bool   `json:"learner,omitempty"`
-	LagEntries uint64 `json:"behind"` // log entries not known to be on its disk
-	Active     bool   `json:"active"` // it answered lately
+	LagEntries uint64 `json:"behind"` // entries of the leader's log not known to be on its disk
+	Active     bool   `json:"active"` // it responded to the leader lately
 }
 
-// Role is what this member's replica is in its group, as pages and JSON name it.
+// Role is the role of this member's replica in its group, as pages and JSON name it.
 type Role string
 
 // The roles.
@@ -46,17 +46,17 @@
 	RoleLeader    Role = "leader"
 	RoleFollower  Role = "follower"  // or learner
 	RoleCandidate Role = "candidate" // or pre-candidate
-	RoleNone      Role = "none"      // no replica here, or one that does not answer
+	RoleNone      Role = "none"      // no replica on this member, or it does not answer
 )
 
-// formatDiskID writes a replica ID as pages and the store have it: 16 hexadecimal digits.
+// formatDiskID formats a replica ID as pages and the store show it: 16 hexadecimal digits.
 func formatDiskID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// statusTimeout bounds how long a group's goroutine is waited for.
+// statusTimeout bounds how long Status and ReadStale wait for a group's goroutine.
 const statusTimeout = 300 * time.Millisecond
 
-// Status is the state of this member's replica of a group. A replica that doesn't answer in time, or has
-// stopped, has role none and says so in Stalled.
+// Status returns the state of this member's replica of a group. If the replica does not answer in time or has
+// stopped, its role is RoleNone and Stalled says why.
 func (h *Host) Status(group string) Status {
 	none := Status{Group: group, Role: RoleNone, Leader: h.leaderHint(group), Disk: formatDiskID(h.store.id)}
 	g := h.group(group)
@@ -105,10 +105,11 @@
 	return status
 }
 
-// replicaStatus returns the state of all replicas as this one, the leader, knows it, sorted by member and ID.
+// replicaStatus returns the state of all replicas as known to this one, the leader, sorted by member and disk
+// ID.
 func (g *group) replicaStatus(raftStatus *raft.Status) []ReplicaStatus {
 	var replicas []ReplicaStatus
-	last, _ := g.storage.LastIndex() // never fails in memory
+	last, _ := g.storage.LastIndex() // never fails for a MemoryStorage
 	for id, progress := range raftStatus.Progress {
 		replicas = append(replicas, ReplicaStatus{
 			Member:     g.memberNames[id],
@@ -127,8 +128,8 @@
 // Leads reports whether this member leads a group.
 func (h *Host) Leads(group string) bool { return h.Status(group).Role == RoleLeader }
 
-// ReadStale answers a query from this member's own replica, which may lag. It returns false if this member
-// has no replica, or the query fails.
+// ReadStale answers a query from this member's own replica, which may lag behind the leader. It returns false
+// if this member has no replica, the replica does not answer in time, or the query fails.
 func (h *Host) ReadStale(group string, query []byte) (any, bool) {
 	g := h.group(group)
 	if g == nil {
--- a/internal/cluster/raftgroup/store.go
+++ b/internal/cluster/raftgroup/store.go
@@ -16,12 +16,12 @@
 	"cresshub/internal/cluster/boltfile"
 )
 
-// storeFormat is the newest format of the file that this program reads, and the one it writes.
+// storeFormat is the version of the file format that this program writes, and the newest that it reads.
 const storeFormat = 1
 
-// The file has one bucket for itself (identity and bootstrap votes) and one a group, with the hard state, the
-// last snapshot and a bucket of log entries by index. Each value of a group has a checksum before it (xxhash,
-// 8 bytes).
+// The file has a bucket for metadata (format, fleet label, replica ID and bootstrap votes) and one for each
+// group. A group's bucket holds the hard state, the last snapshot, and a bucket of log entries by index. Each
+// of these values is preceded by a checksum (xxhash, 8 bytes).
 var (
 	metaBucket   = []byte("meta")
 	logBucket    = []byte("log")
@@ -33,20 +33,21 @@
 	metaID     = []byte("id")
 )
 
-// groupPrefix begins the names of the groups' buckets.
+// groupPrefix is the prefix of the names of the groups' buckets.
 const groupPrefix = "group/"
 
-// store is what a member's replicas have on disk: one bbolt file for all groups. Its methods may be called
-// from any goroutine; writers wait for each other.
+// store is the storage of a member's replicas: one bbolt file for all groups. Its methods may be called from
+// any goroutine; writers wait for each other.
 type store struct {
 	db     *bolt.DB
 	path   string
-	id     uint64 // ID of this disk, and of all replicas on it, drawn when the file was made
+	id     uint64 // ID of this disk and of all replicas on it, drawn when the file was created
 	faults DiskFaults
 }
 
-// openStore opens the file in a folder, making both where they are missing. Errors name the file and what is
-// wrong: it is another fleet's, of a newer format, in use by another process, truncated.
+// openStore opens the store's file in a directory, creating both if they are missing. Errors name the file
+// and the cause: it belongs to another fleet, has a newer format, is in use by another process, or is
+// truncated.
 func openStore(dir, label string, faults DiskFaults) (*store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -69,8 +70,8 @@
 	return s, nil
 }
 
-// checkNotTruncated rejects a file that is shorter than its own meta page says: bbolt maps it into memory,
-// and a read beyond its end would kill the process.
+// checkNotTruncated returns an error for a file that is shorter than its own meta page says. bbolt maps the
+// file into memory, and a read beyond its end would kill the process.
 func checkNotTruncated(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -80,7 +81,7 @@
 		return err
 	}
 	if info.Size() == 0 {
-		return nil // made and not written yet
+		return nil // created and not written yet
 	}
 	size, err := sizeByMetaPage(path)
 	switch {
@@ -95,11 +96,11 @@
 }
 
 func truncatedError(path, why string) error {
-	return fmt.Errorf("%s is cut off (%s); move it away and start again: the group brings this replica up "+
-		"anew from the others", path, why)
+	return fmt.Errorf("%s is cut off (%s); move the file away and start again: the group "+
+		"restores this replica from the others", path, why)
 }
 
-// sizeByMetaPage is the size in bytes that a file's own meta page says it has.
+// sizeByMetaPage returns the size in bytes that a file should have according to its own meta page.
 func sizeByMetaPage(path string) (size int64, err error) {
 	db, err := boltfile.Open(path, bolt.Options{ReadOnly: true})
 	if err != nil {
@@ -112,7 +113,8 @@
 	return size, errors.Join(err, db.Close())
 }
 
-// identify reads whose the file is, or writes it into a new one.
+// identify reads the metadata of the file and checks that it is of this fleet and of a known format; it
+// writes the metadata of a new file.
 func (s *store) identify(label string) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
@@ -121,28 +123,28 @@
 		}
 		format, err := strconv.Atoi(string(meta.Get(metaFormat)))
 		if err != nil || format > storeFormat || format < 1 {
-			return fmt.Errorf("its format is %q; this program reads up to %d", meta.Get(metaFormat),
+			return fmt.Errorf("file format is %q; this program reads formats up to %d", meta.Get(metaFormat),
 				storeFormat)
 		}
 		if got := string(meta.Get(metaLabel)); got != label {
-			return fmt.Errorf("it is of the fleet %q, and fleet.label is %q", got, label)
+			return fmt.Errorf("file belongs to the fleet %q, but fleet.label is %q", got, label)
 		}
 		id := meta.Get(metaID)
 		if len(id) != 8 {
-			return errors.New("it has no identity")
+			return errors.New("file has no valid replica ID")
 		}
 		s.id = binary.BigEndian.Uint64(id)
 		return nil
 	})
 }
 
-// initMeta makes a new file this fleet's and draws its ID.
+// initMeta writes the metadata of a new file: the format, the fleet's label, and a random ID.
 func (s *store) initMeta(tx *bolt.Tx, label string) error {
 	meta, err := tx.CreateBucket(metaBucket)
 	if err != nil {
 		return err
 	}
-	s.id = rand.Uint64() | 1 // never raft.None
+	s.id = rand.Uint64() | 1 // never raft.None, which is 0
 	return errors.Join(
 		meta.Put(metaFormat, []byte(strconv.Itoa(storeFormat))),
 		meta.Put(metaLabel, []byte(label)),
@@ -151,7 +153,8 @@
 
 func (s *store) close() error { return s.db.Close() }
 
-// update runs change in a transaction that is synced when update returns; with an error nothing has changed.
+// update runs change in a transaction, which is synced to disk when update returns. After an error nothing
+// has changed.
 func (s *store) update(change func(*bolt.Tx) error) error {
 	if s.faults != nil {
 		if err := s.faults.Sync(); err != nil {
@@ -161,10 +164,10 @@
 	return s.db.Update(change)
 }
 
-// metaValue reads a value of the file's own, "" if there is none.
+// metaValue returns a value from the metadata, or "" if there is none.
 func (s *store) metaValue(key string) string {
 	var value string
-	_ = s.db.View(func(tx *bolt.Tx) error { // fails for a closed file alone
+	_ = s.db.View(func(tx *bolt.Tx) error { // fails only for a closed file
 		value = string(tx.Bucket(metaBucket).Get([]byte(key)))
 		return nil
 	})
@@ -175,10 +178,10 @@
 	return s.update(func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put([]byte(key), []byte(value)) })
 }
 
-// groups are the names of the groups in the file.
+// groups returns the names of the groups in the file.
 func (s *store) groups() []string {
 	var names []string
-	_ = s.db.View(func(tx *bolt.Tx) error { // fails for a closed file alone
+	_ = s.db.View(func(tx *bolt.Tx) error { // fails only for a closed file
 		return tx.ForEach(func(bucket []byte, _ *bolt.Bucket) error {
 			if name, ok := strings.CutPrefix(string(bucket), groupPrefix); ok && name != "" {
 				names = append(names, name)
@@ -191,22 +194,21 @@
 
 func groupBucket(group string) []byte { return []byte(groupPrefix + group) }
 
-// indexKey is the key of a log entry: big endian, so that bbolt has the entries in their order.
+// indexKey returns the key of a log entry. It is big endian, so that bbolt sorts the entries by index.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-const checksumSize = 8
+const checksumSize = 8 // in bytes
 
-// addChecksum returns a value as it is stored, behind its checksum.
+// addChecksum returns a value as it is stored: the checksum, then the value.
 func addChecksum(value []byte) []byte {
 	stored := binary.BigEndian.AppendUint64(make([]byte, 0, checksumSize+len(value)), xxhash.Sum64(value))
 	return append(stored, value...)
 }
 
-// verifyChecksum returns the value in a stored one, which it aliases, or an error if the checksum does not
-// fit.
+// verifyChecksum returns the value in stored, without copying it, or an error if the checksum does not match.
 func verifyChecksum(stored []byte) ([]byte, error) {
 	if len(stored) < checksumSize || binary.BigEndian.Uint64(stored) != xxhash.Sum64(stored[checksumSize:]) {
-		return nil, errors.New("its checksum does not fit")
+		return nil, errors.New("checksum mismatch")
 	}
 	return stored[checksumSize:], nil
 }
--- a/internal/cluster/raftgroup/store_group.go
+++ b/internal/cluster/raftgroup/store_group.go
@@ -10,11 +10,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// logFillPercent is how full bbolt packs the pages of a log, which is appended to and hardly ever inserted
-// into.
+// logFillPercent is the fraction to which bbolt fills the pages of a log. It is high, as entries are appended
+// and hardly ever inserted.
 const logFillPercent = 0.95
 
-// createGroup adds an empty group unless the file has it.
+// createGroup adds an empty group to the file unless the file already has it.
 func (s *store) createGroup(group string) error {
 	return s.update(func(tx *bolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists(groupBucket(group))
@@ -25,8 +25,8 @@
 	})
 }
 
-// load reads a group into a raft storage and returns that with the size of the log in bytes. The storage is
-// nil if the file does not have the group.
+// load reads a group into a raft storage and returns the storage with the size of the log in bytes. The
+// storage is nil if the file does not have the group.
 func (s *store) load(group string) (storage *raft.MemoryStorage, logBytes int64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		bucket := tx.Bucket(groupBucket(group))
@@ -56,21 +56,21 @@
 		return nil
 	}
 	snap := &raftpb.Snapshot{}
-	if err := decodeValue("its snapshot", raw, snap); err != nil {
+	if err := decodeValue("stored snapshot", raw, snap); err != nil {
 		return err
 	}
 	return storage.ApplySnapshot(snap)
 }
 
-// loadHardState reads the hard state, once the snapshot is loaded. A change of the commit index alone is not
-// synced, so the index of the snapshot may be higher.
+// loadHardState reads the hard state; the snapshot must be loaded before. A rise of the commit index alone is
+// not stored, so the snapshot's index may be higher.
 func loadHardState(bucket *bolt.Bucket, storage *raft.MemoryStorage) error {
 	raw := bucket.Get(hardStateKey)
 	if raw == nil {
 		return nil
 	}
 	hardState := &raftpb.HardState{}
-	if err := decodeValue("its hard state", raw, hardState); err != nil {
+	if err := decodeValue("stored hard state", raw, hardState); err != nil {
 		return err
 	}
 	snap, err := storage.Snapshot()
@@ -81,7 +81,8 @@
 	return storage.SetHardState(hardState)
 }
 
-// loadEntries reads the log after the snapshot, which must have no gap, and returns its size in bytes.
+// loadEntries reads the log entries after the snapshot and returns their size in bytes. It returns an error
+// if an entry is missing.
 func loadEntries(bucket *bolt.Bucket, storage *raft.MemoryStorage) (int64, error) {
 	first, err := storage.FirstIndex()
 	if err != nil {
@@ -92,8 +93,8 @@
 	cursor := bucket.Bucket(logBucket).Cursor()
 	for key, value := cursor.Seek(indexKey(first)); key != nil; key, value = cursor.Next() {
 		entry := &raftpb.Entry{}
-		what := fmt.Sprintf("log entry %d", binary.BigEndian.Uint64(key))
-		if err := decodeValue(what, value, entry); err != nil {
+		valueName := fmt.Sprintf("log entry %d", binary.BigEndian.Uint64(key))
+		if err := decodeValue(valueName, value, entry); err != nil {
 			return 0, err
 		}
 		if want := first + uint64(len(entries)); entry.GetIndex() != want {
@@ -105,19 +106,19 @@
 	return size, storage.Append(entries)
 }
 
-// decodeValue reads a group's value; what names it in errors.
-func decodeValue(what string, stored []byte, into proto.Message) error {
+// decodeValue verifies and decodes a group's stored value, which errors call valueName.
+func decodeValue(valueName string, stored []byte, into proto.Message) error {
 	value, err := verifyChecksum(stored)
 	if err == nil {
 		err = proto.Unmarshal(value, into)
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %w", what, err)
+		return fmt.Errorf("%s: %w", valueName, err)
 	}
 	return nil
 }
 
-// putValue writes a group's value and returns its size in bytes, with the checksum.
+// putValue writes a group's value and returns its size in bytes, including the checksum.
 func putValue(bucket *bolt.Bucket, key []byte, value proto.Message) (int64, error) {
 	raw, err := proto.Marshal(value)
 	if err != nil {
@@ -126,8 +127,8 @@
 	return checksumSize + int64(len(raw)), bucket.Put(key, addChecksum(raw))
 }
 
-// save stores the durable part of a raft.Ready in one synced transaction, and returns how many bytes of log
-// that added.
+// save stores the durable part of a raft.Ready in one synced transaction and returns the size in bytes of the
+// log entries that it wrote.
 func (s *store) save(group string, ready *raft.Ready) (logBytes int64, err error) {
 	err = s.update(func(tx *bolt.Tx) error {
 		bucket := tx.Bucket(groupBucket(group))
@@ -148,7 +149,7 @@
 	return logBytes, err
 }
 
-// saveSnapshot replaces the snapshot by a leader's, and the log by an empty one that follows it.
+// saveSnapshot replaces the snapshot by the given one, and the log by an empty one that follows it.
 func saveSnapshot(bucket *bolt.Bucket, snap *raftpb.Snapshot) error {
 	if _, err := putValue(bucket, snapshotKey, snap); err != nil {
 		return err
@@ -165,7 +166,7 @@
 }
 
 // saveEntries appends entries to the log and returns their size in bytes. Stored entries from the first new
-// index on come from an earlier leader, and are overwritten or deleted.
+// index onwards come from an earlier leader and are overwritten or deleted.
 func saveEntries(log *bolt.Bucket, entries []*raftpb.Entry) (int64, error) {
 	if len(entries) == 0 {
 		return 0, nil
@@ -189,7 +190,7 @@
 	return size, nil
 }
 
-// compact stores a snapshot and deletes the log before an index.
+// compact stores a snapshot and deletes the log entries before firstIndex.
 func (s *store) compact(group string, snap *raftpb.Snapshot, firstIndex uint64) error {
 	return s.update(func(tx *bolt.Tx) error {
 		bucket := tx.Bucket(groupBucket(group))
@@ -207,8 +208,8 @@
 	})
 }
 
-// clearGroup deletes the log and snapshot of a removed replica. Its term and vote stay, so that it doesn't
-// vote twice in a term if it is added again.
+// clearGroup deletes the log and the snapshot of a removed replica. Its term and vote are kept, so that it
+// doesn't vote twice in a term if it is added again.
 func (s *store) clearGroup(group string) error {
 	return s.update(func(tx *bolt.Tx) error {
 		bucket := tx.Bucket(groupBucket(group))
@@ -222,14 +223,14 @@
 	})
 }
 
-// resetCommit sets the commit index in the hard state, if there is one, to that of an empty log.
+// resetCommit sets the commit index in the hard state, if there is one, to 0, that of an empty log.
 func resetCommit(bucket *bolt.Bucket) error {
 	raw := bucket.Get(hardStateKey)
 	if raw == nil {
 		return nil
 	}
 	hardState := &raftpb.HardState{}
-	if err := decodeValue("its hard state", raw, hardState); err != nil {
+	if err := decodeValue("stored hard state", raw, hardState); err != nil {
 		return err
 	}
 	hardState.Commit = proto.Uint64(0)
--- a/internal/cluster/raftgroup/store_test.go
+++ b/internal/cluster/raftgroup/store_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func entries(from, to uint64) (out []*raftpb.Entry) {
+func testEntries(from, to uint64) (out []*raftpb.Entry) {
 	for i := from; i <= to; i++ {
 		out = append(out, &raftpb.Entry{Index: proto.Uint64(i), Term: proto.Uint64(1),
 			Data: fmt.Append(nil, "entry ", i)})
@@ -23,7 +23,7 @@
 	return out
 }
 
-func mustOpen(t *testing.T, dir string) *store {
+func mustOpenStore(t *testing.T, dir string) *store {
 	t.Helper()
 	s, err := openStore(dir, "fleet", nil)
 	if err != nil {
@@ -33,15 +33,16 @@
 	return s
 }
 
-// storeWithEntries makes a file with 40 log entries, each saved by itself, and returns its folder.
+// storeWithEntries creates a store with 40 log entries, each saved in a transaction of its own, and returns
+// its directory.
 func storeWithEntries(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	s := mustOpen(t, dir)
+	s := mustOpenStore(t, dir)
 	if err := s.createGroup("g"); err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range entries(1, 40) {
+	for _, e := range testEntries(1, 40) {
 		if _, err := s.save("g", &raft.Ready{Entries: []*raftpb.Entry{e}}); err != nil {
 			t.Fatal(err)
 		}
@@ -52,8 +53,9 @@
 	return dir
 }
 
-// A file truncated at any byte of its last pages is rejected by an error that names it, or read with all
-// entries: never with fewer, and never with a crash.
+// A store whose file is truncated at any byte of its last page, or at every 997th byte before, is rejected
+// with an error that names the file, or has all of its entries: it never has fewer, and never crashes the
+// process.
 func TestTruncatedStoreIsRejectedOrComplete(t *testing.T) {
 	path := filepath.Join(storeWithEntries(t), "replica.db")
 	full, err := os.ReadFile(path)
@@ -61,21 +63,21 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	//nolint:usetesting // thousands of files: in memory where there is a file system for that
-	if fast, err := os.MkdirTemp("/dev/shm", "cresshub-store-"); err == nil {
-		t.Cleanup(func() { os.RemoveAll(fast) })
-		dir = fast
+	//nolint:usetesting // thousands of files, kept in memory where /dev/shm exists
+	if memoryDir, err := os.MkdirTemp("/dev/shm", "cresshub-store-"); err == nil {
+		t.Cleanup(func() { os.RemoveAll(memoryDir) })
+		dir = memoryDir
 	}
 	rejected, read := 0, 0
-	// Every byte of the last page, then every 997th before.
-	for cut := len(full) - 1; cut > 0; {
-		if err := os.WriteFile(filepath.Join(dir, "replica.db"), full[:cut], 0o600); err != nil {
+	// Every byte of the last page, then every 997th byte before it.
+	for size := len(full) - 1; size > 0; {
+		if err := os.WriteFile(filepath.Join(dir, "replica.db"), full[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, err := openStore(dir, "fleet", nil)
 		switch {
 		case err != nil && !strings.Contains(err.Error(), "replica.db"):
-			t.Fatalf("cut at %d: %v names no file", cut, err)
+			t.Fatalf("truncated to %d bytes: error %v does not name the file", size, err)
 		case err != nil:
 			rejected++
 		default:
@@ -83,16 +85,16 @@
 			if err != nil {
 				rejected++
 			} else if last, _ := storage.LastIndex(); last != 40 {
-				t.Fatalf("cut at %d of %d: read with %d entries", cut, len(full), last)
+				t.Fatalf("truncated to %d of %d bytes: the last entry read is %d, not 40", size, len(full), last)
 			} else {
 				read++
 			}
 			s.close()
 		}
-		if cut > len(full)-4096 {
-			cut--
+		if size > len(full)-4096 {
+			size--
 		} else {
-			cut -= 997
+			size -= 997
 		}
 	}
 	t.Logf("%d bytes; %d truncations rejected, %d read with all entries", len(full), rejected, read)
@@ -106,39 +108,39 @@
 	put := func(key, value string) func(*store) error {
 		return func(s *store) error { return s.setMetaValue(key, value) }
 	}
-	for what, c := range map[string]struct {
-		spoil func(*store) error
-		says  string
+	for name, c := range map[string]struct {
+		corrupt  func(*store) error
+		wantText string
 	}{
 		"another fleet":  {put("label", "other"), `fleet "other"`},
 		"a newer format": {put("format", "2"), "format"},
 		"no format":      {put("format", "x"), "format"},
-		"no identity":    {put("id", "x"), "no identity"},
+		"no replica ID":  {put("id", "x"), "no valid replica ID"},
 	} {
 		raw, err := os.ReadFile(filepath.Join(dir, "replica.db"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		other := t.TempDir()
-		if err := os.WriteFile(filepath.Join(other, "replica.db"), raw, 0o600); err != nil {
+		copyDir := t.TempDir()
+		if err := os.WriteFile(filepath.Join(copyDir, "replica.db"), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s := mustOpen(t, other)
-		if err := c.spoil(s); err != nil {
+		s := mustOpenStore(t, copyDir)
+		if err := c.corrupt(s); err != nil {
 			t.Fatal(err)
 		}
 		s.close()
-		if _, err := openStore(other, "fleet", nil); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v", what, err)
+		if _, err := openStore(copyDir, "fleet", nil); err == nil || !strings.Contains(err.Error(), c.wantText) {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
-	s := mustOpen(t, dir)
-	synctest.Test(t, func(t *testing.T) { // in virtual time, as it waits for the lock
+	s := mustOpenStore(t, dir)
+	synctest.Test(t, func(t *testing.T) { // virtual time, as openStore waits for the lock
 		if _, err := openStore(dir, "fleet", nil); err == nil || !strings.Contains(err.Error(), "another process") {
-			t.Errorf("held by another: %v", err)
+			t.Errorf("store in use by another process: %v", err)
 		}
 	})
-	err := s.update(func(tx *bolt.Tx) error { // a byte of an entry flips
+	err := s.update(func(tx *bolt.Tx) error { // flips a bit in an entry
 		b := tx.Bucket(groupBucket("g")).Bucket(logBucket)
 		v := append([]byte(nil), b.Get(indexKey(7))...)
 		v[9] ^= 1
@@ -147,8 +149,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := s.load("g"); err == nil || !strings.Contains(err.Error(), "log entry 7: its checksum") {
-		t.Errorf("a spoilt entry: %v", err)
+	if _, _, err := s.load("g"); err == nil || !strings.Contains(err.Error(), "log entry 7: checksum mismatch") {
+		t.Errorf("corrupt entry: %v", err)
 	}
 	if err := s.update(func(tx *bolt.Tx) error {
 		return tx.Bucket(groupBucket("g")).Bucket(logBucket).Delete(indexKey(7))
@@ -156,12 +158,12 @@
 		t.Fatal(err)
 	}
 	if _, _, err := s.load("g"); err == nil || !strings.Contains(err.Error(), "log entry 7 is missing") {
-		t.Errorf("a missing entry: %v", err)
+		t.Errorf("missing entry: %v", err)
 	}
 }
 
 func TestStoreOverwritesCompactsAndClears(t *testing.T) {
-	s := mustOpen(t, storeWithEntries(t))
+	s := mustOpenStore(t, storeWithEntries(t))
 	logRange := func() (first, last uint64) {
 		t.Helper()
 		storage, _, err := s.load("g")
@@ -172,8 +174,8 @@
 		last, _ = storage.LastIndex()
 		return first, last
 	}
-	// Another leader's entries take the place of what stood from 30 on.
-	if _, err := s.save("g", &raft.Ready{Entries: entries(30, 33)}); err != nil {
+	// Entries from another leader replace the stored entries from index 30 on.
+	if _, err := s.save("g", &raft.Ready{Entries: testEntries(30, 33)}); err != nil {
 		t.Fatal(err)
 	}
 	if first, last := logRange(); first != 1 || last != 33 {
@@ -208,7 +210,7 @@
 	}
 }
 
-func TestFileFaultsFailsWritesAsTheFileSays(t *testing.T) {
+func TestFileFaultsFailsWritesWhenFileSaysFull(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "faults")
 	f := FileFaults{path}
 	for text, full := range map[string]bool{`{"full": true}`: true, `{}`: false, `garbage`: false} {
@@ -229,6 +231,6 @@
 	defer s.close()
 	os.WriteFile(path, []byte(`{"full": true}`), 0o600)
 	if err := s.createGroup("g"); err == nil || errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a full disk: %v", err)
+		t.Errorf("write on a full disk: %v", err)
 	}
 }
