--- a/internal/cluster/raftgroup/client.go
+++ b/internal/cluster/raftgroup/client.go
@@ -22,7 +22,7 @@
 // called from any goroutine.
 func (h *Host) Read(ctx context.Context, group string, query []byte) (json.RawMessage, error) {
 	if g := h.group(group); g != nil {
-		// The timeout covers a ReadIndex message to the leader that is lost.
+		// A ReadIndex message to the leader may be lost: after the timeout the other members are asked.
 		localCtx, cancel := context.WithTimeout(ctx, h.opts.ElectionTimeout/2)
 		result, err := g.readIndex(localCtx, query)
 		cancel()
--- a/internal/cluster/raftgroup/diskfaults.go
+++ b/internal/cluster/raftgroup/diskfaults.go
@@ -14,8 +14,8 @@
 	Sync() error
 }
 
-// FileFaults injects the faults that a JSON file describes: each sync is delayed by sync_delay_ms (at most 10
-// s), and if full is set, each write fails with ENOSPC. The file is read at each sync; if it is missing or
+// FileFaults injects the faults that a JSON file describes: each sync is delayed by sync_delay_ms, at most by
+// 10 s, and if full is set, each write fails with ENOSPC. The file is read at each sync; if it is missing or
 // does not decode, no fault is injected.
 type FileFaults struct{ Path string }
 
--- a/internal/cluster/raftgroup/options.go
+++ b/internal/cluster/raftgroup/options.go
@@ -30,8 +30,8 @@
 	// or 5, which survive the loss of two.
 	Replicas int
 	// BootstrapExpect is the number of live members that must be in the view before a group is bootstrapped;
-	// 3 by default and at least. It should be more than half of all members, so that the two halves of a
-	// partitioned fleet don't each bootstrap a group.
+	// the default and the minimum are 3. It should be more than half of all members, so that the two halves
+	// of a partitioned fleet don't each bootstrap a group.
 	BootstrapExpect int
 	// MaxLearnerLag is how many log entries a learner may lag behind the leader when it is promoted to a
 	// voter; 100 by default.
@@ -39,9 +39,9 @@
 	// HeartbeatInterval is the time between a leader's heartbeats, and the length of raft's tick; 100 ms by
 	// default.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is how long a follower that receives nothing from a leader waits before it campaigns; 1
-	// s by default. Raft draws the actual wait at random between once and twice this value. It must be at
-	// least twice HeartbeatInterval. The other timeouts of a group derive from it.
+	// ElectionTimeout is how long a follower that receives nothing from a leader waits before it campaigns;
+	// one second by default. Raft draws the actual wait at random between once and twice this value. It must
+	// be at least twice HeartbeatInterval. The other timeouts of a group derive from it.
 	ElectionTimeout time.Duration
 	// GoneAfter is how long a member with a replica may be absent from the view before it counts as gone and
 	// its replica is replaced; 30 s by default, the value that package membership uses for members in the
