--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -172,7 +172,7 @@
 		}
 		return finalResponse{response: response, class: class, answer: answerDropped}
 	case dispatch.ClientDisconnected:
-		s.Stats.ClientGone.Add()
+		s.Stats.ClientDisconnected.Add()
 		s.recordOutcome(c, outcomeClientGone, 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
 			s.Pool.Release(&attempts[last.Attempt].outcome)
--- a/internal/proxy/ingress/clientgone_test.go
+++ b/internal/proxy/ingress/clientgone_test.go
@@ -56,9 +56,9 @@
 				began := time.Now()
 				leave(conn.Conn.(*net.TCPConn))
 				nettest.Until(t, "the client counts as gone", func() bool {
-					return rig.Stats.ClientGone.Load() == 1 || rig.Stats.Refused.Load() > 0
+					return rig.Stats.ClientDisconnected.Load() == 1 || rig.Stats.Refused.Load() > 0
 				})
-				if rig.Stats.ClientGone.Load() != 1 {
+				if rig.Stats.ClientDisconnected.Load() != 1 {
 					t.Fatalf("it was waited for until its request was refused after %v", time.Since(began))
 				}
 				rig.list(zone.Address)
@@ -120,7 +120,7 @@
 				io.WriteString(conn, getRequest("left"))
 				<-at
 				conn.Close()
-				nettest.Until(t, "the client counts as gone", func() bool { return rig.Stats.ClientGone.Load() == 1 })
+				nettest.Until(t, "the client counts as gone", func() bool { return rig.Stats.ClientDisconnected.Load() == 1 })
 				close(on)
 				rig.list(zone.Address)
 				if response := nettest.Ask(t, nettest.Dial(t, rig.address), getRequest("after")); response.Status != 200 {
--- a/internal/proxy/ingress/interleaving_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -400,7 +400,7 @@
 			nettest.Until(t, "it counts", func() bool { return rig.Stats.InProgress.Load() == 1 })
 		}
 		conn.Close()
-		nettest.Until(t, "it counts as gone", func() bool { return rig.Stats.ClientGone.Load() == 1 })
+		nettest.Until(t, "it counts as gone", func() bool { return rig.Stats.ClientDisconnected.Load() == 1 })
 		nettest.Until(t, "its connection is closed", func() bool {
 			rig.Server.mu.Lock()
 			defer rig.Server.mu.Unlock()
