--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -163,7 +163,7 @@
 		outcome.Response.Header = outcome.Response.Header.EndToEnd("X-Server-Load")
 		return finalResponse{outcome.Response, outcome, class, answerPassed}
 	case dispatch.Reject:
-		s.Stats.Refused.Add()
+		s.Stats.Rejected.Add()
 		s.recordOutcome(c, outcomeRefused, http1.StatusServiceUnavailable, attempts, len(attempts)-1)
 		response := textResponse(http1.StatusServiceUnavailable, "refused", false)
 		if last.RetryAfter > 0 {
--- a/internal/proxy/ingress/clientgone_test.go
+++ b/internal/proxy/ingress/clientgone_test.go
@@ -56,7 +56,7 @@
 				began := time.Now()
 				leave(conn.Conn.(*net.TCPConn))
 				nettest.Until(t, "the client counts as gone", func() bool {
-					return rig.Stats.ClientDisconnected.Load() == 1 || rig.Stats.Refused.Load() > 0
+					return rig.Stats.ClientDisconnected.Load() == 1 || rig.Stats.Rejected.Load() > 0
 				})
 				if rig.Stats.ClientDisconnected.Load() != 1 {
 					t.Fatalf("it was waited for until its request was refused after %v", time.Since(began))
--- a/internal/proxy/stats/stats.go
+++ b/internal/proxy/stats/stats.go
@@ -49,7 +49,7 @@
 type Set struct {
 	// Valid requests of clients, and those of them with each outcome; and beside them the malformed or
 	// otherwise invalid ones.
-	Received, Served, Refused, Failed, ClientDisconnected, Invalid Counter
+	Received, Served, Rejected, Failed, ClientDisconnected, Invalid Counter
 	// Connections of clients: all that were accepted, and those of them that were rejected because the budget
 	// of descriptors is exhausted.
 	AcceptedConns, RejectedConns Counter
@@ -144,7 +144,7 @@
 	counter := func(name string, c *Counter) slog.Attr { return slog.Int64(name, c.Load()) }
 	log.Info(logging.CountersMessage, "why", why,
 		slog.Group("requests", counter("received", &s.Received), counter("served", &s.Served),
-			counter("rejected", &s.Refused), counter("failed", &s.Failed),
+			counter("rejected", &s.Rejected), counter("failed", &s.Failed),
 			counter("client_disconnected", &s.ClientDisconnected), counter("invalid", &s.Invalid)),
 		slog.Group("clients", counter("accepted", &s.AcceptedConns), counter("rejected", &s.RejectedConns)),
 		s.Attempts.attr("sent", resultNames), s.Probes.attr("probed", resultNames),
