--- a/internal/proxy/stats/stats.go
+++ b/internal/proxy/stats/stats.go
@@ -58,7 +58,7 @@
 	// Probes answered without a readable load report.
 	ProbesWithoutReport Counter
 	// Connections to zone servers that were opened, and requests and probes sent over an idle one.
-	Opened, Reused Counter
+	OpenedServerConns, ReusedServerConns Counter
 	// Lists and changes received from discovery, and watches that ended.
 	ListsRead, ListsFailed Counter
 	// Attempts whose request was written completely to a server.
@@ -149,7 +149,7 @@
 		slog.Group("clients", counter("accepted", &s.AcceptedConns), counter("rejected", &s.RejectedConns)),
 		s.Attempts.attr("sent", resultNames), s.Probes.attr("probed", resultNames),
 		counter("probed_without_report", &s.ProbesWithoutReport),
-		slog.Group("connections", counter("opened", &s.Opened), counter("reused", &s.Reused)),
+		slog.Group("connections", counter("opened", &s.OpenedServerConns), counter("reused", &s.ReusedServerConns)),
 		slog.Group("lists", counter("read", &s.ListsRead), counter("failed", &s.ListsFailed)),
 		counter("stalls", &s.Stalls))
 }
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -72,7 +72,7 @@
 		}
 		p.Release(&out)
 	}
-	if n := p.stats.Opened.Load(); n != 1 || p.stats.Reused.Load() != 1 {
+	if n := p.stats.OpenedServerConns.Load(); n != 1 || p.stats.ReusedServerConns.Load() != 1 {
 		t.Errorf("%d connections for two", n)
 	}
 }
@@ -94,7 +94,7 @@
 				t.Errorf("more %q: %s", more, dispatch.ResultNames[out.Result])
 			}
 		}
-		if n := p.stats.Opened.Load(); n != 2 {
+		if n := p.stats.OpenedServerConns.Load(); n != 2 {
 			t.Errorf("more %q: %d connections", more, n)
 		}
 	}
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -122,7 +122,7 @@
 		return
 	}
 	if p.reuseIdle(a, address) {
-		p.stats.Reused.Add()
+		p.stats.ReusedServerConns.Add()
 		return
 	}
 	go (&conn{pool: p, server: a.Server, address: address}).run(a)
