--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -154,7 +154,7 @@
 
 // finish makes the final response of a call from its last step.
 func (s *Server) finish(c *client, last dispatch.Step, attempts []*attempt,
-	class *stats.Handled) finalResponse {
+	class *stats.ResponseCounters) finalResponse {
 	switch last.Kind {
 	case dispatch.Answer:
 		s.Stats.Served.Add()
--- a/internal/proxy/ingress/response.go
+++ b/internal/proxy/ingress/response.go
@@ -14,7 +14,7 @@
 type finalResponse struct {
 	response *http1.Response   // nil where nobody waits for one
 	outcome  *upstream.Outcome // where response comes from, to be released; nil for a local reply
-	class    *stats.Handled    // counters of the request's class; nil for a health check
+	class    *stats.ResponseCounters    // counters of the request's class; nil for a health check
 	answer   answer            // what it counts as once it is written
 }
 
--- a/internal/proxy/ingress/usage.go
+++ b/internal/proxy/ingress/usage.go
@@ -18,7 +18,7 @@
 )
 
 // counter is the counter of such answers among those of a class; nil if there is none.
-func (a answer) counter(class *stats.Handled) *stats.Counter {
+func (a answer) counter(class *stats.ResponseCounters) *stats.Counter {
 	switch a {
 	case answerPassed:
 		return &class.Passed
@@ -57,7 +57,7 @@
 
 // countAnswer counts a final response that was written, in the counters of its class and as usage. out is the
 // number of bytes of its body.
-func (s *Server) countAnswer(c *client, class *stats.Handled, a answer, out int64) {
+func (s *Server) countAnswer(c *client, class *stats.ResponseCounters, a answer, out int64) {
 	a.counter(class).Add()
 	usage := c.usage
 	if usage == nil || a == "" {
--- a/internal/proxy/stats/stats.go
+++ b/internal/proxy/stats/stats.go
@@ -41,9 +41,9 @@
 // Load returns the present number.
 func (g *Gauge) Load() int64 { return g.n.Load() }
 
-// Handled counts the requests of one class by the final response that was written: one of a server, a
+// ResponseCounters counts the requests of one class by the final response that was written: one of a server, a
 // rejection by the proxy, or an error after failed attempts.
-type Handled struct{ Passed, Dropped, Failed Counter }
+type ResponseCounters struct{ Passed, Dropped, Failed Counter }
 
 // Set holds all counters of the process. The zero Set has no classes.
 type Set struct {
@@ -69,18 +69,18 @@
 	InProgress Gauge
 
 	classes []string  // names
-	handled []Handled // by class, in the order of classes
+	handled []ResponseCounters // by class, in the order of classes
 }
 
 // New returns a Set that counts by these classes too.
 func New(classes []string) *Set {
-	return &Set{classes: classes, handled: make([]Handled, len(classes))}
+	return &Set{classes: classes, handled: make([]ResponseCounters, len(classes))}
 }
 
 // Class returns the counters of a class by its index; for an unknown one, new counters that nobody reads.
-func (s *Set) Class(class int) *Handled {
+func (s *Set) Class(class int) *ResponseCounters {
 	if class < 0 || class >= len(s.handled) {
-		return &Handled{}
+		return &ResponseCounters{}
 	}
 	return &s.handled[class]
 }
