--- a/internal/proxy/adminapi/server_test.go
+++ b/internal/proxy/adminapi/server_test.go
@@ -83,10 +83,10 @@
 
 func TestVarsHasEveryFigureOnItsLine(t *testing.T) {
 	_, count, at := serve(t)
-	count.Class(0).Passed.Add()
-	count.Class(0).Dropped.Add()
-	count.Class(7).Failed.Add() // no such class: in no figure
-	count.RequestsSent.Add()
+	count.Class(0).Passed.Inc()
+	count.Class(0).Dropped.Inc()
+	count.Class(7).Failed.Inc() // no such class: in no figure
+	count.RequestsSent.Inc()
 	count.InProgress.Add(2)
 	want := "proxy.handled.lookup.passed:1|c\nproxy.handled.lookup.dropped:1|c\n" +
 		"proxy.handled.lookup.bad_gateway:0|c\nproxy.upstream_tries:1|c\nproxy.in_progress:2|g\n" +
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -94,7 +94,7 @@
 
 // recordStall records that this process has run again after a stall.
 func (p *Proxy) recordStall(length time.Duration) {
-	p.stats.Stalls.Add()
+	p.stats.Stalls.Inc()
 	if length >= minLoggedStall {
 		p.log.Warn("proxy: process stalled", "for", length.Round(time.Millisecond))
 	}
--- a/internal/proxy/discovery/run.go
+++ b/internal/proxy/discovery/run.go
@@ -139,7 +139,7 @@
 		return 0
 	}
 	c.current = nil
-	c.stats.ListsFailed.Add()
+	c.stats.ListsFailed.Inc()
 	c.log.Warn("discovery: watch ended", logging.Address, w.address, logging.Err, w.err)
 	if w.delivered {
 		c.retries, c.quickReopens = 0, 0
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -164,6 +164,6 @@
 	}
 	c.sink.UpdateList(full, list)
 	c.changed()
-	c.stats.ListsRead.Add()
+	c.stats.ListsRead.Inc()
 	return err
 }
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -37,7 +37,7 @@
 		return finalResponse{response: response, class: class, answer: answerBadGateway}
 	}
 	defer s.releaseID(id)
-	s.Stats.Received.Add()
+	s.Stats.Received.Inc()
 	if u != nil {
 		// The client's time does not run until the last byte of the body is sent.
 		u.timeout, request.Deadline = request.Deadline.Sub(arrived), arrived.Add(maxTimeout)
@@ -157,13 +157,13 @@
 	class *stats.ResponseCounters) finalResponse {
 	switch last.Kind {
 	case dispatch.Answer:
-		s.Stats.Served.Add()
+		s.Stats.Served.Inc()
 		s.recordOutcome(c, outcomeServed, http1.StatusOK, attempts, last.Attempt)
 		outcome := &attempts[last.Attempt].outcome
 		outcome.Response.Header = outcome.Response.Header.EndToEnd("X-Server-Load")
 		return finalResponse{outcome.Response, outcome, class, answerPassed}
 	case dispatch.Reject:
-		s.Stats.Rejected.Add()
+		s.Stats.Rejected.Inc()
 		s.recordOutcome(c, outcomeRefused, http1.StatusServiceUnavailable, attempts, len(attempts)-1)
 		response := textResponse(http1.StatusServiceUnavailable, "refused", false)
 		if last.RetryAfter > 0 {
@@ -172,14 +172,14 @@
 		}
 		return finalResponse{response: response, class: class, answer: answerDropped}
 	case dispatch.ClientDisconnected:
-		s.Stats.ClientDisconnected.Add()
+		s.Stats.ClientDisconnected.Inc()
 		s.recordOutcome(c, outcomeClientGone, 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
 			s.Pool.Release(&attempts[last.Attempt].outcome)
 		}
 		return finalResponse{}
 	}
-	s.Stats.Failed.Add()
+	s.Stats.Failed.Inc()
 	status, reason := http1.StatusBadGateway, "failed"
 	if n := len(attempts); n > 0 && attempts[n-1].outcome.Result == dispatch.TimedOut {
 		status, reason = http1.StatusGatewayTimeout, "no answer in time"
--- a/internal/proxy/ingress/reject.go
+++ b/internal/proxy/ingress/reject.go
@@ -72,7 +72,7 @@
 
 // countRejected counts and logs a request that is malformed or invalid.
 func (s *Server) countRejected(status int, reason string) {
-	s.Stats.Invalid.Add()
+	s.Stats.Invalid.Inc()
 	s.Log.Warn("ingress: request rejected", logging.Status, status, logging.Err, reason)
 }
 
--- a/internal/proxy/ingress/server.go
+++ b/internal/proxy/ingress/server.go
@@ -108,12 +108,12 @@
 			time.Sleep(acceptBackoff)
 			continue
 		}
-		s.Stats.AcceptedConns.Add()
+		s.Stats.AcceptedConns.Inc()
 		if s.Budget.Acquire(descriptors.Clients) {
 			s.admit(nc)
 			continue
 		}
-		s.Stats.RejectedConns.Add()
+		s.Stats.RejectedConns.Inc()
 		select {
 		case s.rejecting <- struct{}{}:
 			go s.rejectConn(nc)
--- a/internal/proxy/ingress/usage.go
+++ b/internal/proxy/ingress/usage.go
@@ -58,7 +58,7 @@
 // countAnswer counts a final response that was written, in the counters of its class and as usage. out is the
 // number of bytes of its body.
 func (s *Server) countAnswer(c *client, class *stats.ResponseCounters, a answer, out int64) {
-	a.counter(class).Add()
+	a.counter(class).Inc()
 	usage := c.usage
 	if usage == nil || a == "" {
 		return
--- a/internal/proxy/stats/stats.go
+++ b/internal/proxy/stats/stats.go
@@ -22,8 +22,8 @@
 // Counter is a number of events since the start.
 type Counter struct{ n atomic.Int64 }
 
-// Add counts one more. On a nil Counter it does nothing.
-func (c *Counter) Add() {
+// Inc counts one more. On a nil Counter it does nothing.
+func (c *Counter) Inc() {
 	if c != nil {
 		c.n.Add(1)
 	}
@@ -92,7 +92,7 @@
 type Results struct{ counts [resultKinds]Counter }
 
 // Add counts one result, by its value from 0 to resultKinds-1.
-func (r *Results) Add(result int) { r.counts[result].Add() }
+func (r *Results) Add(result int) { r.counts[result].Inc() }
 
 // attr is a group of the results that occurred, under their names; one without a name has its value.
 func (r *Results) attr(key string, names []string) slog.Attr {
--- a/internal/proxy/stats/stats_test.go
+++ b/internal/proxy/stats/stats_test.go
@@ -9,9 +9,9 @@
 
 func TestLogGroupsCountersAndNamesResults(t *testing.T) {
 	var s Set
-	s.Received.Add()
-	s.Received.Add()
-	s.Served.Add()
+	s.Received.Inc()
+	s.Received.Inc()
+	s.Served.Inc()
 	s.Attempts.Add(1)
 	s.Probes.Add(0)
 	var out bytes.Buffer
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -133,7 +133,7 @@
 	if err == nil {
 		c.deadlines = c.pool.clock.Wrap(netConn)
 		c.netConn = connbuffer.NewConn(c.deadlines)
-		c.pool.stats.OpenedServerConns.Add()
+		c.pool.stats.OpenedServerConns.Inc()
 		return dispatch.Served, true
 	}
 	c.pool.budget.Release(descriptors.Servers)
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -23,7 +23,7 @@
 		return Outcome{Result: result}, false
 	}
 	if !a.probe {
-		c.pool.stats.RequestsSent.Add()
+		c.pool.stats.RequestsSent.Inc()
 	}
 	response, body, err := http1.ReadResponseHead(c.netConn.In, a.method())
 	streaming := false
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -109,7 +109,7 @@
 // sends one is loaded without regard to its queue.
 func (p *Pool) countMissingReport(outcome Outcome) {
 	if outcome.Result == dispatch.Served && outcome.Load == nil && p.reportFormat.size > 0 {
-		p.stats.ProbesWithoutReport.Add()
+		p.stats.ProbesWithoutReport.Inc()
 	}
 }
 
@@ -122,7 +122,7 @@
 		return
 	}
 	if p.reuseIdle(a, address) {
-		p.stats.ReusedServerConns.Add()
+		p.stats.ReusedServerConns.Inc()
 		return
 	}
 	go (&conn{pool: p, server: a.Server, address: address}).run(a)
