--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -100,14 +100,14 @@
 	switch {
 	case state.predecessor != nil:
 		go p.waitForPredecessorExit()
-		p.waitForList(func() bool { return state.predecessorHasExited() || p.server.Ending() })
-		if p.server.Ending() && !state.predecessorHasExited() {
+		p.waitForList(func() bool { return state.predecessorHasExited() || p.server.ShuttingDown() })
+		if p.server.ShuttingDown() && !state.predecessorHasExited() {
 			return // the predecessor goes on serving, as it was not notified
 		}
 	case listLimits(p.startConfig).MaxReopenDelay > 0:
 		// Drains that discovery knows of count from the first request on. If it can't be reached, the known list
 		// is used. A shutdown ends the wait too: clients that have connected meanwhile still get their responses.
-		p.waitForList(func() bool { return p.stats.ListsFailed.Load() > 0 || p.server.Ending() })
+		p.waitForList(func() bool { return p.stats.ListsFailed.Load() > 0 || p.server.ShuttingDown() })
 	}
 	go func() { _ = p.server.Serve(p.listener) }() // its error is nil once the listener is closed
 	p.offerHandover()
--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -35,8 +35,8 @@
 	return s
 }
 
-// End returns the state after a signal to shut down; only the first one counts.
-func (s State) End(now time.Time) State {
+// Shutdown returns the state after a signal to shut down; only the first one counts.
+func (s State) Shutdown(now time.Time) State {
 	if s.shutdownSince.IsZero() {
 		s.shutdownSince = now
 	}
@@ -46,8 +46,8 @@
 // Serving reports whether no drain is on.
 func (s State) Serving() bool { return s.lameDuckSince.IsZero() && s.shutdownSince.IsZero() }
 
-// Ending reports whether the process shuts down.
-func (s State) Ending() bool { return !s.shutdownSince.IsZero() }
+// ShuttingDown reports whether the process shuts down.
+func (s State) ShuttingDown() bool { return !s.shutdownSince.IsZero() }
 
 // Plan is what the caller has to do in a state at one moment. The zero Plan asks for nothing.
 type Plan struct {
@@ -82,7 +82,7 @@
 			plan.PartialBefore = now
 		}
 	}
-	if s.Ending() {
+	if s.ShuttingDown() {
 		age := now.Sub(s.shutdownSince)
 		if age >= times.CloseAll { // the process may be killed before a later request has its response
 			plan.PartialBefore = now
--- a/internal/proxy/drain/drain_test.go
+++ b/internal/proxy/drain/drain_test.go
@@ -16,7 +16,7 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestPlanFollowsTheAgeOfTheDrain(t *testing.T) {
-	lame, end := State{}.LameDuck(true, at(0)), State{}.End(at(0))
+	lame, end := State{}.LameDuck(true, at(0)), State{}.Shutdown(at(0))
 	for _, c := range []struct {
 		name  string
 		state State
@@ -34,11 +34,11 @@
 		{"shutdown, may exit", end, 1200,
 			Plan{IdleBefore: at(1200), PartialBefore: at(1200), StopAccepting: true, LastResponse: true,
 				MayExit: true}},
-		{"both, begun later", lame.End(at(300)), 900, Plan{IdleBefore: at(300)}},
-		{"both, incomplete requests by the shutdown", lame.End(at(100)), 1300,
+		{"both, begun later", lame.Shutdown(at(300)), 900, Plan{IdleBefore: at(300)}},
+		{"both, incomplete requests by the shutdown", lame.Shutdown(at(100)), 1300,
 			Plan{IdleBefore: at(1300), PartialBefore: at(1300),
 				StopAccepting: true, LastResponse: true, MayExit: true}},
-		{"both, the further one counts", lame.End(at(1000)), 1300, Plan{IdleBefore: at(1300), LastResponse: true}},
+		{"both, the further one counts", lame.Shutdown(at(1000)), 1300, Plan{IdleBefore: at(1300), LastResponse: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if diff := cmp.Diff(c.want, c.state.Plan(at(c.ms), times)); diff != "" {
@@ -60,19 +60,19 @@
 				s, lame = s.LameDuck(c.on, at(i)), c.on
 			}
 			if c.end {
-				s, ended = s.End(at(i)), true
+				s, ended = s.Shutdown(at(i)), true
 			}
 		}
-		if s.Serving() != (!lame && !ended) || s.Ending() != ended {
-			t.Errorf("order %d: serving %v, ending %v", n, s.Serving(), s.Ending())
+		if s.Serving() != (!lame && !ended) || s.ShuttingDown() != ended {
+			t.Errorf("order %d: serving %v, ending %v", n, s.Serving(), s.ShuttingDown())
 		}
 		if p := s.Plan(at(10000), times); p.MayExit != ended || p.IdleBefore.IsZero() != s.Serving() {
 			t.Errorf("order %d: %+v", n, p)
 		}
 	}
 	// A repeated call does not begin the drain anew.
-	again := State{}.LameDuck(true, at(0)).LameDuck(true, at(900)).End(at(1000)).End(at(2000))
-	if diff := cmp.Diff(State{}.LameDuck(true, at(0)).End(at(1000)).Plan(at(2200), times),
+	again := State{}.LameDuck(true, at(0)).LameDuck(true, at(900)).Shutdown(at(1000)).Shutdown(at(2000))
+	if diff := cmp.Diff(State{}.LameDuck(true, at(0)).Shutdown(at(1000)).Plan(at(2200), times),
 		again.Plan(at(2200), times)); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -13,8 +13,8 @@
 // Serving reports whether clients are accepted; /health/ready says the same.
 func (s *Server) Serving() bool { return s.drain.Load().Serving() }
 
-// Ending reports whether Shutdown was called.
-func (s *Server) Ending() bool { return s.drain.Load().Ending() }
+// ShuttingDown reports whether Shutdown was called.
+func (s *Server) ShuttingDown() bool { return s.drain.Load().ShuttingDown() }
 
 // closesAfterResponse reports whether a client's connection is to end with its present response. If it has
 // sent more behind its request, which must be answered too, the connection stays open for a while.
@@ -40,7 +40,7 @@
 func (s *Server) closeIdleLoop() {
 	for ; ; time.Sleep(sweepInterval) {
 		s.mu.Lock()
-		if d := s.drain.Load(); d.Serving() || d.Ending() {
+		if d := s.drain.Load(); d.Serving() || d.ShuttingDown() {
 			s.closingIdle = false
 			s.mu.Unlock()
 			return
@@ -57,7 +57,7 @@
 // others some time after the last could have been opened.
 func (s *Server) Shutdown(l net.Listener) {
 	s.mu.Lock()
-	next := s.drain.Load().End(time.Now())
+	next := s.drain.Load().Shutdown(time.Now())
 	s.drain.Store(&next)
 	s.mu.Unlock()
 	for ; ; time.Sleep(sweepInterval) {
