--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -147,8 +147,8 @@
 func (p *Proxy) newIngress() {
 	settings := p.cfg.Settings()
 	p.server = ingress.New(ingress.Options{
-		Decider: p.decider, Pool: p.pool, Name: p.discovery.Name, Classes: settings.ClassNames,
-		Tenants: settings.TenantNames, Limits: p.cfg.Clients, Drain: p.drainTimes, Budget: p.budget,
+		Decider: p.decider, Pool: p.pool, ServerName: p.discovery.Name, Classes: settings.ClassNames,
+		Tenants: settings.TenantNames, Limits: p.cfg.Clients, DrainTimes: p.drainTimes, Descriptors: p.budget,
 		Bodies: p.bodies, Stats: p.stats, Clock: p.clock, RecordUsage: p.usageRecorder(), Log: p.log.Logger,
 	})
 	p.server.LogRequests(p.requestLog())
--- a/internal/proxy/ingress/client_test.go
+++ b/internal/proxy/ingress/client_test.go
@@ -59,7 +59,7 @@
 func newIdleServer() *Server {
 	return New(Options{Limits: config.Clients{MaxRejecting: 1, ReclaimUnused: 50 * time.Millisecond,
 		ReclaimPartial: 500 * time.Millisecond, ReclaimIdle: 20 * time.Millisecond},
-		Bodies: bodybudget.NewBudget(1 << 20), Budget: descriptors.NewBudget(100, 0.6, 0.25),
+		Bodies: bodybudget.NewBudget(1 << 20), Descriptors: descriptors.NewBudget(100, 0.6, 0.25),
 		Stats: &stats.Set{}, Log: slog.New(slog.DiscardHandler)})
 }
 
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -20,7 +20,7 @@
 // sent more behind its request, which must be answered too, the connection stays open for a while.
 func (s *Server) closesAfterResponse(c *client) bool {
 	d := s.drain.Load()
-	return !d.Serving() && (d.Plan(time.Now(), s.Drain()).LastResponse || c.Quiet())
+	return !d.Serving() && (d.Plan(time.Now(), s.DrainTimes()).LastResponse || c.Quiet())
 }
 
 // LameDuck begins or ends a drain without a shutdown; it returns at once. Everything that arrives is still
@@ -45,7 +45,7 @@
 			s.mu.Unlock()
 			return
 		}
-		s.closeBefore(s.drain.Load().Plan(time.Now(), s.Drain()))
+		s.closeBefore(s.drain.Load().Plan(time.Now(), s.DrainTimes()))
 		s.mu.Unlock()
 	}
 }
@@ -61,7 +61,7 @@
 	s.drain.Store(&next)
 	s.mu.Unlock()
 	for ; ; time.Sleep(sweepInterval) {
-		p := s.drain.Load().Plan(time.Now(), s.Drain())
+		p := s.drain.Load().Plan(time.Now(), s.DrainTimes())
 		if p.StopAccepting {
 			// Until this moment every connection is accepted: one left in the kernel's backlog could hold a
 			// request that must be answered.
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -319,7 +319,7 @@
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1), idle: true, unused: true}
 		nettest.Until(t, "it is there", func() bool { return !c.Still() })
-		if !rig.Budget.Acquire(descriptors.Clients) {
+		if !rig.Descriptors.Acquire(descriptors.Clients) {
 			t.Fatal("no place")
 		}
 		rig.serveConn(c)
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -38,7 +38,7 @@
 	delete(s.clients, c)
 	s.mu.Unlock()
 	c.Close()
-	s.Budget.Release(descriptors.Clients)
+	s.Descriptors.Release(descriptors.Clients)
 }
 
 // closeIdle closes a connection that is idle or receiving; false where its goroutine owns it. The lock is
@@ -50,7 +50,7 @@
 	c.idle = false
 	delete(s.clients, c)
 	c.Close()
-	s.Budget.Release(descriptors.Clients)
+	s.Descriptors.Release(descriptors.Clients)
 	return true
 }
 
--- a/internal/proxy/ingress/requestlog.go
+++ b/internal/proxy/ingress/requestlog.go
@@ -34,7 +34,7 @@
 	}
 	c.logEntry.Outcome, c.logEntry.Status, c.logEntry.Attempts = outcome, status, len(attempts)
 	if last >= 0 {
-		c.logEntry.Server = s.Name(attempts[last].Server)
+		c.logEntry.Server = s.ServerName(attempts[last].Server)
 	}
 }
 
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -92,14 +92,14 @@
 	tb.Cleanup(func() { close(done) })
 	pool := upstream.New(rig, clock, limits, nil, budget, room, count)
 	rig.Server = New(Options{
-		Decider: decider, Pool: pool, Name: func(dispatch.ServerID) string { return "s" },
+		Decider: decider, Pool: pool, ServerName: func(dispatch.ServerID) string { return "s" },
 		Classes: []string{"lookup", "assign"}, Tenants: []string{"acme"},
 		Limits: config.Clients{FirstRequestTimeout: wait, HeadTimeout: wait, StallTimeout: wait, IdleTimeout: wait,
 			WriteTimeout: wait, ReclaimPartial: wait, ReclaimUnused: wait, ReclaimIdle: wait, RejectTimeout: wait,
 			MaxRejecting: 8,
 			Linger:       time.Second, DiscardTimeout: time.Second},
-		Drain:  func() drain.Times { return *rig.drainTimes.Load() },
-		Budget: budget, Bodies: room, Stats: count, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		DrainTimes:  func() drain.Times { return *rig.drainTimes.Load() },
+		Descriptors: budget, Bodies: room, Stats: count, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/ingress/server.go
+++ b/internal/proxy/ingress/server.go
@@ -51,12 +51,12 @@
 type Options struct {
 	Decider     *dispatch.Decider
 	Pool        *upstream.Pool
-	Name        func(dispatch.ServerID) string // of a zone server
+	ServerName        func(dispatch.ServerID) string // of a zone server
 	Classes     []string                       // names in the order of the settings
 	Tenants     []string                       // likewise; empty where requests name none
 	Limits      config.Clients
-	Drain       func() drain.Times // as they are now
-	Budget      *descriptors.Budget
+	DrainTimes       func() drain.Times // as they are now
+	Descriptors      *descriptors.Budget
 	Bodies      *bodybudget.Budget
 	Stats       *stats.Set
 	Clock       *stallclock.Clock // of this process's stalls; nil for one that never stalls
@@ -73,7 +73,7 @@
 	}
 	s.SetLimits(o.Limits)
 	s.drain.Store(&drain.State{})
-	o.Budget.SetReclaim(descriptors.Clients, s.closeMostExpendable)
+	o.Descriptors.SetReclaim(descriptors.Clients, s.closeMostExpendable)
 	return s
 }
 
@@ -109,7 +109,7 @@
 			continue
 		}
 		s.Stats.AcceptedConns.Inc()
-		if s.Budget.Acquire(descriptors.Clients) {
+		if s.Descriptors.Acquire(descriptors.Clients) {
 			s.admit(nc)
 			continue
 		}
@@ -138,7 +138,7 @@
 	s.clients[c] = struct{}{}
 	s.mu.Unlock()
 	go s.serveConn(c)
-	if s.Budget.Crowded() {
+	if s.Descriptors.Crowded() {
 		s.closeMostExpendable()
 	}
 }
