--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -13,8 +13,9 @@
 
 const readyPath = "/health/ready"
 
-// respond returns the final response to a request: to a health check or an invalid request at once, to any
-// other after its attempts. u is the part of the body that is not buffered, nil if there is none.
+// respond returns the final response to a request: for a health check or an invalid request at once, for any
+// other once its attempts have led to one. u is the part of the body that is not buffered, nil if there is
+// none.
 func (s *Server) respond(c *client, message *http1.Request, u *upload, arrived time.Time) finalResponse {
 	if path, _, _ := strings.Cut(message.Target, "?"); path == readyPath {
 		return finalResponse{response: s.readiness()}
@@ -28,36 +29,37 @@
 		if rejection.status == http1.StatusMethodNotAllowed {
 			response.Header = append(response.Header, http1.Field{Name: "Allow", Value: "GET, HEAD, POST"})
 		}
-		return finalResponse{response: response, class: class, answer: answerBadGateway}
+		return finalResponse{response: response, class: class, kind: responseBadGateway}
 	}
 	id := message.Header.Get(idField)
 	if !s.openID(id) {
-		s.countRejected(http1.StatusConflict, "id in use")
+		s.countRejected(http1.StatusConflict, "X-Request-ID is that of a request in flight")
 		response := textResponse(http1.StatusConflict, "a request with this id is open", false)
-		return finalResponse{response: response, class: class, answer: answerBadGateway}
+		return finalResponse{response: response, class: class, kind: responseBadGateway}
 	}
 	defer s.releaseID(id)
 	s.Stats.Received.Inc()
 	if u != nil {
-		// The client's time does not run until the last byte of the body is sent.
+		// X-Timeout counts only from the last byte of the body; until it is sent, maxTimeout applies.
 		u.timeout, request.Deadline = request.Deadline.Sub(arrived), arrived.Add(maxTimeout)
 	} else {
 		s.Stats.InProgress.Add(1)
 		c.inProgress = true
 	}
 	s.startLogEntry(c, id, request)
-	return s.runAttempts(c, id, request, forwarded(message), u)
+	return s.runAttempts(c, id, request, upstreamMessage(message), u)
 }
 
-// forwarded is a client's message as attempts send it to servers. Each of them adds the time that is left.
-func forwarded(message *http1.Request) *http1.Request {
+// upstreamMessage returns a client's message as its attempts send it to servers. Each attempt adds the
+// remaining time as its own X-Timeout.
+func upstreamMessage(message *http1.Request) *http1.Request {
 	return &http1.Request{
 		Method: message.Method, Target: message.Target, Body: message.Body, Length: message.Length,
 		Header: message.Header.EndToEnd(timeoutField),
 	}
 }
 
-// readiness is the response to a health check of this proxy.
+// readiness returns the response to a health check of this proxy.
 func (s *Server) readiness() *http1.Response {
 	if !s.Serving() {
 		return textResponse(http1.StatusServiceUnavailable, "sending clients away", true)
@@ -65,8 +67,8 @@
 	return textResponse(http1.StatusOK, "ready", false)
 }
 
-// openID records that a request with this id is open; false if the id is in use. Servers take what is sent
-// under an id in use for a duplicate, whoever sent it.
+// openID records that a request with this id is in flight; it returns false if the id is in use already.
+// Servers would treat a second request under the same id as a duplicate, even if another client sent it.
 func (s *Server) openID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,14 +79,14 @@
 	return true
 }
 
-// retainID records one more user of an id.
+// retainID counts one more use of an id that openID has recorded.
 func (s *Server) retainID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.openIDs[id]++
 }
 
-// releaseID ends one use of an id.
+// releaseID ends one use of an id. After the last one, openID accepts the id again.
 func (s *Server) releaseID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +96,8 @@
 	}
 }
 
-// attempt is one attempt with its outcome, which its Done writes before it reports to the Decider, and the
-// request's goroutine reads after the step that follows from the report.
+// attempt is one attempt with its outcome. Done writes the outcome before it reports it to the Decider, and
+// the request's goroutine reads it only after a step that follows from the report, so neither holds a lock.
 type attempt struct {
 	upstream.Attempt
 	outcome upstream.Outcome
@@ -105,7 +107,7 @@
 func (s *Server) runAttempts(c *client, id string, request dispatch.Request, message *http1.Request,
 	u *upload) finalResponse {
 	select {
-	case <-c.wakeup: // a token that the request before has left
+	case <-c.wakeup: // a stale token of the previous request
 	default:
 	}
 	call := s.Decider.Open(request, c)
@@ -130,8 +132,8 @@
 	}
 }
 
-// startAttempt starts the attempt of a Send. The request's id stays in use until the attempt ends, which may
-// be after the client has disconnected.
+// startAttempt starts the attempt of a Send step. The request's id stays in use until the attempt ends, which
+// may be after the client has disconnected.
 func (s *Server) startAttempt(call *dispatch.Call, step dispatch.Step, id string, message *http1.Request,
 	u *upload) *attempt {
 	a := &attempt{Attempt: upstream.Attempt{Server: step.Server, Request: message, StartBy: step.StartBy,
@@ -152,7 +154,7 @@
 	return a
 }
 
-// finish makes the final response of a call from its last step.
+// finish counts and logs the outcome of a call, and returns the final response that its last step implies.
 func (s *Server) finish(c *client, last dispatch.Step, attempts []*attempt,
 	class *stats.ResponseCounters) finalResponse {
 	switch last.Kind {
@@ -161,19 +163,19 @@
 		s.recordOutcome(c, outcomeServed, http1.StatusOK, attempts, last.Attempt)
 		outcome := &attempts[last.Attempt].outcome
 		outcome.Response.Header = outcome.Response.Header.EndToEnd("X-Server-Load")
-		return finalResponse{outcome.Response, outcome, class, answerPassed}
+		return finalResponse{outcome.Response, outcome, class, responsePassed}
 	case dispatch.Reject:
 		s.Stats.Rejected.Inc()
-		s.recordOutcome(c, outcomeRefused, http1.StatusServiceUnavailable, attempts, len(attempts)-1)
+		s.recordOutcome(c, outcomeRejected, http1.StatusServiceUnavailable, attempts, len(attempts)-1)
 		response := textResponse(http1.StatusServiceUnavailable, "refused", false)
 		if last.RetryAfter > 0 {
 			wait := strconv.FormatFloat(last.RetryAfter.Seconds(), 'f', 3, 64)
 			response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: wait})
 		}
-		return finalResponse{response: response, class: class, answer: answerDropped}
+		return finalResponse{response: response, class: class, kind: responseDropped}
 	case dispatch.ClientDisconnected:
 		s.Stats.ClientDisconnected.Inc()
-		s.recordOutcome(c, outcomeClientGone, 0, attempts, len(attempts)-1)
+		s.recordOutcome(c, outcomeClientDisconnected, 0, attempts, len(attempts)-1)
 		if last.Attempt >= 0 {
 			s.Pool.Release(&attempts[last.Attempt].outcome)
 		}
@@ -185,5 +187,5 @@
 		status, reason = http1.StatusGatewayTimeout, "no answer in time"
 	}
 	s.recordOutcome(c, outcomeFailed, status, attempts, len(attempts)-1)
-	return finalResponse{response: textResponse(status, reason, false), class: class, answer: answerBadGateway}
+	return finalResponse{response: textResponse(status, reason, false), class: class, kind: responseBadGateway}
 }
--- a/internal/proxy/ingress/buffer.go
+++ b/internal/proxy/ingress/buffer.go
@@ -6,14 +6,14 @@
 	"cresshub/internal/http1"
 )
 
-// bufferBody reads a request's body into message.Body as far as it is buffered for further attempts: all of a
-// small one, the start of one that is known to be large, or as much as the budget for bodies allows. reserved
-// is the number of bytes taken from that budget, also where err is set; the caller releases them.
+// bufferBody reads a request's body into message.Body, as far as it is retained for further attempts: all of
+// a small body, the start of one that is known to be large, or as much as the budget for bodies allows.
+// reserved is the number of bytes taken from that budget, even if err is not nil; the caller releases them.
 func (s *Server) bufferBody(c *client, message *http1.Request, body *http1.Body) (reserved int, err error) {
 	if body.Complete() {
 		return 0, nil
 	}
-	if message.ExpectsContinue && c.In.Buffered() == 0 { // else the client has not waited for it
+	if message.ExpectsContinue && c.In.Buffered() == 0 { // otherwise the client didn't wait for the 100
 		if err := s.sendContinue(c); err != nil {
 			return 0, err
 		}
@@ -39,7 +39,7 @@
 	}
 }
 
-// sendContinue sends the interim response (100) that a client waits for before it sends a body.
+// sendContinue sends the interim response 100 (Continue), for which a client waits before it sends the body.
 func (s *Server) sendContinue(c *client) error {
 	c.SetWriteDeadline(time.Now().Add(s.limits.Load().WriteTimeout))
 	http1.WriteContinue(c.Out)
--- a/internal/proxy/ingress/client.go
+++ b/internal/proxy/ingress/client.go
@@ -11,35 +11,38 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// client is one connection of the application. It is the dispatch.Waiter of its requests.
+// client is the server's end of one client connection. It is the dispatch.Waiter of its requests.
 type client struct {
 	*connbuffer.Conn
-	wakeup chan struct{}          // holds a token after Wake
-	upload atomic.Pointer[upload] // that an attempt reads or may read; nil if there is none
+	wakeup chan struct{}          // holds a token after Wake until Wait consumes it
+	upload atomic.Pointer[upload] // unbuffered part of the request's body, until it has ended; nil if none
 
-	// The server's lock guards these.
-	since     time.Time // when the present state began
-	idle      bool      // no request is complete; whoever unsets it owns the connection
-	receiving bool      // idle, but a request has begun
+	// Server.mu guards these fields.
+	since     time.Time // when the current state began
+	idle      bool      // not owned; the goroutine that clears it owns the connection
+	receiving bool      // if idle: a request has begun but is incomplete
 	unused    bool      // no request was ever served
 
-	// These belong to the connection's goroutine.
-	inProgress bool                  // the request counts as in progress
-	logEntry   *logging.RequestEntry // of the request being served; nil if it is not logged
-	usage      *Usage                // of the request being served; nil where usage is not counted
+	// Only the connection's goroutine uses these fields.
+	inProgress bool                  // the request is counted in Stats.InProgress
+	logEntry   *logging.RequestEntry // of the current request; nil if it is not logged
+	usage      *Usage                // of the current request; nil if usage is not counted
 }
 
-// closedPollInterval is how often a connection that can't be read is checked for whether its peer closed it.
+// closedPollInterval is how often Wait checks whether the client has disconnected, while it can't detect this
+// by reading.
 const closedPollInterval = 50 * time.Millisecond
 
-// pastDeadline is a read deadline that wakes a goroutine from Read at once.
+// pastDeadline is a read deadline that makes a blocked Read return at once.
 var pastDeadline = time.Unix(1, 0)
 
-var errPeerClosed = errors.New("the client has closed its sending side")
+var errPeerClosed = errors.New("client closed its sending side")
 
-// Wait waits in Read until Wake, or until the client closes its side: a close and the end of its sending
-// alone look the same, so whoever wants a response keeps both open. While an attempt reads the request's
-// body, or may begin to, the connection is not read but checked now and then.
+// Wait blocks until Wake is called, or returns an error once the client has disconnected. It detects this by
+// reading the connection; what it reads stays in the buffer. A client that closes only its sending side
+// counts as disconnected, as a full close looks the same: clients keep both sides open until they have the
+// response. While an attempt reads the request's body, or may begin to, Wait doesn't read but polls the
+// connection.
 func (c *client) Wait() error {
 	for u := c.upload.Load(); u != nil; u = c.upload.Load() {
 		if woken, err := c.awaitUpload(u); woken || err != nil {
@@ -47,14 +50,15 @@
 		}
 	}
 	for {
-		// The deadline first: a Wake that comes after this line sets it again, one before it has left its token.
+		// The deadline is cleared before the token is checked: a Wake after this line sets the deadline again,
+		// and one before it has left its token.
 		c.SetReadDeadline(time.Time{})
 		select {
 		case <-c.wakeup:
 			return nil
 		default:
 		}
-		buffered := c.In.Buffered() // of the next request, or of what a client sends without waiting
+		buffered := c.In.Buffered() // bytes of pipelined requests
 		if buffered < c.In.Size() {
 			if _, err := c.In.Peek(buffered + 1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
@@ -72,7 +76,8 @@
 	}
 }
 
-// awaitUpload waits for Wake, the end of the upload or a poll interval, whichever comes first.
+// awaitUpload waits for Wake, the end of the upload or a poll interval, whichever comes first. It returns an
+// error if the upload was aborted or the client has disconnected.
 func (c *client) awaitUpload(u *upload) (woken bool, err error) {
 	select {
 	case <-c.wakeup:
@@ -81,7 +86,7 @@
 		if err := u.clientError(); err != nil {
 			return false, err
 		}
-		c.upload.Store(nil) // before Wait sets the deadline, or a Wake between would be lost
+		c.upload.Store(nil) // before Wait clears the deadline: a later Wake must set it
 	case <-time.After(closedPollInterval):
 		if c.PeerClosed() {
 			return false, errPeerClosed
@@ -90,7 +95,7 @@
 	return false, nil
 }
 
-// Wake ends Wait.
+// Wake makes the current or else the next Wait return. It never blocks.
 func (c *client) Wake() {
 	select {
 	case c.wakeup <- struct{}{}:
@@ -101,11 +106,12 @@
 	}
 }
 
-// read reads the next bytes of a request's body, for which the client has the time stall. Of a chunked body
-// what is buffered may be no more than the end of a chunk.
-func (c *client) read(body *http1.Body, p []byte, stall time.Duration) (int, error) {
+// read reads the next bytes of a request's body, for which it waits stallTimeout at most. No deadline is set
+// if bytes are buffered, except for a chunked body, of which the buffered bytes may be just the end of a
+// chunk.
+func (c *client) read(body *http1.Body, p []byte, stallTimeout time.Duration) (int, error) {
 	if c.In.Buffered() == 0 || body.Length() < 0 {
-		c.SetReadDeadline(time.Now().Add(stall))
+		c.SetReadDeadline(time.Now().Add(stallTimeout))
 	}
 	return body.Read(p)
 }
--- a/internal/proxy/ingress/client_test.go
+++ b/internal/proxy/ingress/client_test.go
@@ -83,14 +83,14 @@
 		add(&client{idle: true, since: time.Now().Add(-100 * time.Millisecond)}), // one request a connection
 	}
 	for i, client := range order {
-		if !server.closeMostExpendable() {
+		if !server.reclaimConnection() {
 			t.Fatalf("only %d were closed", i)
 		}
 		if _, held := server.clients[client]; held {
 			t.Errorf("another one than the %d. was closed", i)
 		}
 	}
-	if server.closeMostExpendable() {
+	if server.reclaimConnection() {
 		t.Error("one in use was closed")
 	}
 }
@@ -117,7 +117,7 @@
 		"xyz": false, "\n": false, "GETaway": false} {
 		reader := bufio.NewReader(strings.NewReader(buffered))
 		reader.Peek(1)
-		if got := mayBeginRequest(reader); got != want {
+		if got := mayStartRequest(reader); got != want {
 			t.Errorf("%q: %v", buffered, got)
 		}
 	}
--- a/internal/proxy/ingress/clientgone_test.go
+++ b/internal/proxy/ingress/clientgone_test.go
@@ -14,9 +14,9 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// clientDepartures are the ways in which a client goes away. The end of its sending alone is one of them: a
+// disconnectWays are the ways in which a client goes away. The end of its sending alone is one of them: a
 // close shows no more than that, so such a client counts as gone.
-var clientDepartures = map[string]func(*net.TCPConn){
+var disconnectWays = map[string]func(*net.TCPConn){
 	"closes":         func(c *net.TCPConn) { c.Close() },
 	"resets":         func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"ends sending":   func(c *net.TCPConn) { c.CloseWrite() },
@@ -45,7 +45,7 @@
 		"a whole upload":  postRequest("id", 100_000, strings.Repeat("x", 100_000)),
 		"upload and more": postRequest("id", 70_000, strings.Repeat("x", 70_000)) + getRequest("next"),
 	} {
-		for way, leave := range clientDepartures {
+		for way, leave := range disconnectWays {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				rig := newRig(t, nil)
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -7,54 +7,58 @@
 	"cresshub/internal/proxy/drain"
 )
 
-// sweepInterval is how often a draining server looks for connections to close.
+// sweepInterval is how often a draining server checks which connections it has to close.
 const sweepInterval = 10 * time.Millisecond
 
-// Serving reports whether clients are accepted; /health/ready says the same.
+// Serving reports whether no drain is on, which /health/ready tells clients too.
 func (s *Server) Serving() bool { return s.drain.Load().Serving() }
 
-// ShuttingDown reports whether Shutdown was called.
+// ShuttingDown reports whether Shutdown has been called.
 func (s *Server) ShuttingDown() bool { return s.drain.Load().ShuttingDown() }
 
-// closesAfterResponse reports whether a client's connection is to end with its present response. If it has
-// sent more behind its request, which must be answered too, the connection stays open for a while.
+// closesAfterResponse reports whether a drain closes the connection after its current response. If the client
+// has already sent more bytes, as with a pipelined request, the connection stays open until the drain's plan
+// sets LastResponse.
 func (s *Server) closesAfterResponse(c *client) bool {
 	d := s.drain.Load()
 	return !d.Serving() && (d.Plan(time.Now(), s.DrainTimes()).LastResponse || c.Quiet())
 }
 
-// LameDuck begins or ends a drain without a shutdown; it returns at once. Everything that arrives is still
-// answered.
+// LameDuck begins or ends a drain without a shutdown, and returns at once. Requests that arrive during the
+// drain are still served.
 func (s *Server) LameDuck(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.drain.Load().LameDuck(on, time.Now())
 	s.drain.Store(&next)
-	if on && !s.closingIdle {
-		s.closingIdle = true
+	if on && !s.closeIdleLoopRunning {
+		s.closeIdleLoopRunning = true
 		go s.closeIdleLoop()
 	}
 }
 
-// closeIdleLoop closes the connections that a drain is due to close, until it ends or Shutdown does the same.
+// closeIdleLoop closes the connections that a lame duck drain is due to close, until the drain ends or
+// Shutdown takes over.
 func (s *Server) closeIdleLoop() {
 	for ; ; time.Sleep(sweepInterval) {
 		s.mu.Lock()
 		if d := s.drain.Load(); d.Serving() || d.ShuttingDown() {
-			s.closingIdle = false
+			s.closeIdleLoopRunning = false
 			s.mu.Unlock()
 			return
 		}
-		s.closeBefore(s.drain.Load().Plan(time.Now(), s.DrainTimes()))
+		s.closeDue(s.drain.Load().Plan(time.Now(), s.DrainTimes()))
 		s.mu.Unlock()
 	}
 }
 
-// Shutdown drains for good: it answers everything that was accepted and returns once no connection is left
-// and Serve has returned, which may have accepted one that it has not admitted yet.
-// After the signal to end clients still open connections for a while, and use those they have while these
-// stay open. So idle ones are closed while a client can still retry a request that crosses with that, and the
-// others some time after the last could have been opened.
+// Shutdown drains for the rest of the process's life: every request on an accepted connection gets its
+// response. Shutdown returns once no connection is left and Serve has returned, as Serve may have accepted a
+// connection that it has not admitted yet.
+//
+// After the shutdown signal, clients go on opening connections for a while, and using the ones they have. So
+// idle connections are closed early, while a client whose request crosses with the close can still retry it
+// on a new connection; the others are closed some time after the last connection could have been opened.
 func (s *Server) Shutdown(l net.Listener) {
 	s.mu.Lock()
 	next := s.drain.Load().Shutdown(time.Now())
@@ -63,12 +67,12 @@
 	for ; ; time.Sleep(sweepInterval) {
 		p := s.drain.Load().Plan(time.Now(), s.DrainTimes())
 		if p.StopAccepting {
-			// Until this moment every connection is accepted: one left in the kernel's backlog could hold a
-			// request that must be answered.
+			// Every connection is accepted up to this moment, since one left in the kernel's backlog could
+			// hold a request, which would get no response.
 			l.Close()
 		}
 		s.mu.Lock()
-		s.closeBefore(p)
+		s.closeDue(p)
 		left := len(s.clients) + s.accepting
 		s.mu.Unlock()
 		if left == 0 && p.MayExit && len(s.rejecting) == 0 {
@@ -77,14 +81,15 @@
 	}
 }
 
-// closeBefore closes the connections that a plan says. One whose next request has arrived and is not read yet
-// is left alone: it is about to be served. The lock is held.
-func (s *Server) closeBefore(p drain.Plan) {
+// closeDue closes the idle connections that are due by the plan, and ends the wait for incomplete requests
+// that are due. A connection with unread bytes in its socket is kept, because its goroutine is about to read
+// them. The caller holds the lock.
+func (s *Server) closeDue(p drain.Plan) {
 	for c := range s.clients {
 		switch {
 		case !c.idle:
 		case c.receiving && c.since.Before(p.PartialBefore) && c.Still():
-			c.SetReadDeadline(pastDeadline) // its own goroutine then responds with an error
+			c.SetReadDeadline(pastDeadline) // the connection's goroutine then responds with an error
 		case !c.receiving && c.since.Before(p.IdleBefore) && c.Still():
 			s.closeIdle(c)
 		}
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -18,8 +18,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// holdingZone is a zone server whose responses wait until release is closed.
-func holdingZone(t *testing.T) (zone *nettest.ScriptedServer, release chan bool) {
+// newBlockedServer is a zone server whose responses wait until release is closed.
+func newBlockedServer(t *testing.T) (zone *nettest.ScriptedServer, release chan bool) {
 	t.Helper()
 	release = make(chan bool)
 	return nettest.Serve(t, func(request *http1.Request) *http1.Response {
@@ -28,8 +28,8 @@
 	}), release
 }
 
-// neverDue are the times of a drain that goes no further than its beginning.
-var neverDue = drain.Times{CloseIdle: time.Hour, AcceptFor: time.Hour, CloseAll: time.Hour,
+// noStepDue are the times of a drain that goes no further than its beginning.
+var noStepDue = drain.Times{CloseIdle: time.Hour, AcceptFor: time.Hour, CloseAll: time.Hour,
 	ClosePartial: time.Hour}
 
 // startShutdown begins the shutdown of a rig and returns once its state says so.
@@ -62,8 +62,8 @@
 	for _, lame := range []bool{false, true} {
 		rig := newRig(t, nil)
 		due := rig.drainTimes.Load()
-		rig.drainTimes.Store(&neverDue)
-		zone, release := holdingZone(t)
+		rig.drainTimes.Store(&noStepDue)
+		zone, release := newBlockedServer(t)
 		rig.list(zone.Address)
 		conn := nettest.Dial(t, rig.address)
 		io.WriteString(conn, getRequest("one")+getRequest("two"))
@@ -97,7 +97,7 @@
 	c.In.Discard(10)
 	server.markIdle(c)
 	server.mu.Lock()
-	server.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
+	server.closeDue(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 	_, open := server.clients[c]
 	server.mu.Unlock()
 	if !open {
@@ -106,7 +106,7 @@
 	c.In.Discard(10)
 	server.markIdle(c)
 	server.mu.Lock()
-	server.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
+	server.closeDue(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 	_, open = server.clients[c]
 	server.mu.Unlock()
 	if open {
@@ -145,7 +145,7 @@
 			}
 			time.Sleep(100 * time.Microsecond)
 		}
-		rig.closeBefore(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
+		rig.closeDue(drain.Plan{IdleBefore: time.Now().Add(time.Hour)})
 		rig.Server.mu.Unlock()
 		if got := nextOutcome(conn); got != "200 " {
 			t.Errorf("%d: %s", i, got)
@@ -183,8 +183,8 @@
 	t.Parallel()
 	rig := newRig(t, nil)
 	due := rig.drainTimes.Load()
-	rig.drainTimes.Store(&neverDue) // until the new connections have been answered
-	zone, release := holdingZone(t)
+	rig.drainTimes.Store(&noStepDue) // until the new connections have been answered
+	zone, release := newBlockedServer(t)
 	defer close(release)
 	rig.list(zone.Address)
 	half, hangs, rests := nettest.Dial(t, rig.address), nettest.Dial(t, rig.address),
@@ -273,7 +273,7 @@
 		nettest.Until(t, "the sweep ends", func() bool {
 			rig.Server.mu.Lock()
 			defer rig.Server.mu.Unlock()
-			return !rig.closingIdle
+			return !rig.closeIdleLoopRunning
 		})
 	}
 }
@@ -330,16 +330,16 @@
 	}
 }
 
-// heldListener returns from Accept only once release is closed, like a process that is stalled just after a
-// connection was accepted.
-type heldListener struct {
+// blockingListener returns from Accept only once release is closed, like a process that is stalled just after
+// a connection was accepted.
+type blockingListener struct {
 	net.Listener
 	accepted chan struct{} // closed with the first connection
 	release  chan struct{}
 	closes   atomic.Int64 // calls of Close
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *blockingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		close(l.accepted)
@@ -348,7 +348,7 @@
 	return conn, err
 }
 
-func (l *heldListener) Close() error {
+func (l *blockingListener) Close() error {
 	l.closes.Add(1)
 	return l.Listener.Close()
 }
@@ -364,7 +364,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := &heldListener{Listener: inner, accepted: make(chan struct{}), release: make(chan struct{})}
+	held := &blockingListener{Listener: inner, accepted: make(chan struct{}), release: make(chan struct{})}
 	rig.listener = held
 	go rig.Serve(held)
 	conn := nettest.Dial(t, inner.Addr().String())
@@ -403,7 +403,7 @@
 		server.mu.Lock()
 		defer server.mu.Unlock()
 		c.SetReadDeadline(time.Time{})
-		server.closeBefore(drain.Plan{PartialBefore: time.Now()})
+		server.closeDue(drain.Plan{PartialBefore: time.Now()})
 		return c.AwaitReadable() != nil
 	}
 	io.WriteString(far, "GET /one")
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -7,8 +7,8 @@
 	"cresshub/internal/proxy/descriptors"
 )
 
-// markIdle marks the connection as between two requests, or as receiving if bytes of the next request are
-// buffered already: other goroutines check only the socket and would not notice those.
+// markIdle marks the connection as idle, or as receiving if bytes of the next request are buffered already:
+// other goroutines check only the socket for unread bytes and would miss those.
 func (s *Server) markIdle(c *client) {
 	buffered := c.HasBuffered()
 	s.mu.Lock()
@@ -16,15 +16,16 @@
 	s.mu.Unlock()
 }
 
-// markReceiving records the first byte of a request.
+// markReceiving records that the first byte of a request has arrived.
 func (s *Server) markReceiving(c *client) {
 	s.mu.Lock()
 	c.receiving, c.since = true, time.Now()
 	s.mu.Unlock()
 }
 
-// claim marks the connection as owned by its goroutine; false if another goroutine has closed it meanwhile.
-func (s *Server) claim(c *client) bool {
+// takeOwnership marks the connection as owned by its goroutine. It returns false if another goroutine has
+// closed the connection.
+func (s *Server) takeOwnership(c *client) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wasIdle := c.idle
@@ -32,8 +33,8 @@
 	return wasIdle
 }
 
-// closeClaimed closes a connection that its goroutine owns.
-func (s *Server) closeClaimed(c *client) {
+// closeOwned closes a connection that its goroutine owns.
+func (s *Server) closeOwned(c *client) {
 	s.mu.Lock()
 	delete(s.clients, c)
 	s.mu.Unlock()
@@ -41,8 +42,8 @@
 	s.Descriptors.Release(descriptors.Clients)
 }
 
-// closeIdle closes a connection that is idle or receiving; false where its goroutine owns it. The lock is
-// held.
+// closeIdle closes a connection that is idle or receiving. It returns false if the connection's goroutine
+// owns it. The caller holds the lock.
 func (s *Server) closeIdle(c *client) bool {
 	if !c.idle {
 		return false
@@ -54,61 +55,63 @@
 	return true
 }
 
-// The degrees of expendability of a connection, ascending.
+// The priorities at which a connection is reclaimed, ascending.
 const (
-	notExpendable = iota
-	expendableIdle
-	expendableStalled
-	expendableUnused
+	notReclaimable = iota
+	reclaimableIdle
+	reclaimableStalled
+	reclaimableUnused
 )
 
-// expendability returns how readily the connection may be closed to free its descriptor. The limit for idle
-// ones is short, because some clients open a connection for each request and leave it open: at hundreds a
-// second, idle connections would take all descriptors long before they time out.
-func (c *client) expendability(now time.Time, l *config.Clients) int {
+// reclaimPriority returns the priority at which the connection is closed to free its descriptor. The age from
+// which idle connections may be closed (ReclaimIdle) is short, because some clients open a connection for
+// each request and leave it open: at hundreds a second, idle connections would take all descriptors long
+// before IdleTimeout.
+func (c *client) reclaimPriority(now time.Time, l *config.Clients) int {
 	age := now.Sub(c.since)
 	switch {
 	case !c.idle:
-		return notExpendable
+		return notReclaimable
 	case c.receiving && age > l.ReclaimPartial &&
-		now.Sub(c.LastReceived()) > l.ReclaimPartial: // a slow one still makes progress
-		return expendableStalled
+		now.Sub(c.LastReceived()) > l.ReclaimPartial: // a slow request that makes progress is kept
+		return reclaimableStalled
 	case !c.receiving && c.unused && age > l.ReclaimUnused:
-		return expendableUnused
+		return reclaimableUnused
 	case !c.receiving && !c.unused && age > l.ReclaimIdle:
-		return expendableIdle
+		return reclaimableIdle
 	}
-	return notExpendable
+	return notReclaimable
 }
 
-// closeMostExpendable closes the most expendable connection, to free its descriptor: one that
-// never sent a request before one that stalls within a request, and that before one between two requests. It
-// returns false if there is none.
-func (s *Server) closeMostExpendable() bool {
+// reclaimConnection closes the connection of the highest reclaimPriority, to free its descriptor: one that
+// never sent a request before one that stalls within a request, and that before one idle between two
+// requests. It returns false if no connection may be closed.
+func (s *Server) reclaimConnection() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, limits := time.Now(), s.limits.Load()
 	for {
-		candidate := s.mostExpendable(now, limits)
+		candidate := s.reclaimCandidate(now, limits)
 		if candidate == nil {
 			return false
 		}
 		if candidate.receiving || candidate.Still() {
 			return s.closeIdle(candidate)
 		}
-		candidate.since = now // its next request has arrived but was not read yet
+		candidate.since = now // bytes of its next request are unread in the socket, so it is not idle
 	}
 }
 
-// mostExpendable returns the most expendable connection, of several the one longest in its state; nil if none
-// is expendable. The lock is held.
-func (s *Server) mostExpendable(now time.Time, limits *config.Clients) *client {
+// reclaimCandidate returns the connection of the highest reclaimPriority, and of several the one longest in
+// its state; nil if none may be closed. The caller holds the lock.
+func (s *Server) reclaimCandidate(now time.Time, limits *config.Clients) *client {
 	var candidate *client
-	highest := notExpendable
+	highest := notReclaimable
 	for c := range s.clients {
-		e := c.expendability(now, limits)
-		if e > highest || e > notExpendable && e == highest && c.since.Before(candidate.since) {
-			candidate, highest = c, e
+		priority := c.reclaimPriority(now, limits)
+		if priority > highest ||
+			priority > notReclaimable && priority == highest && c.since.Before(candidate.since) {
+			candidate, highest = c, priority
 		}
 	}
 	return candidate
--- a/internal/proxy/ingress/interleaving_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -14,8 +14,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// awaitReleased waits until nothing is retained for any client.
-func (r *testRig) awaitReleased(t *testing.T) {
+// awaitNoState waits until nothing is retained for any client.
+func (r *testRig) awaitNoState(t *testing.T) {
 	t.Helper()
 	nettest.Until(t, "nothing is held", func() bool {
 		r.Server.mu.Lock()
@@ -49,7 +49,7 @@
 		"a chunk without end": strings.Replace(postRequest("chunk", 1, ""), "Content-Length: 1",
 			"Transfer-Encoding: chunked", 1) + "fffffffffff\r\nx",
 	} {
-		for way, leave := range clientDepartures {
+		for way, leave := range disconnectWays {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				rig := newRig(t, nil)
@@ -67,7 +67,7 @@
 				if response.Status != 200 {
 					t.Errorf("another client gets %d", response.Status)
 				}
-				rig.awaitReleased(t)
+				rig.awaitNoState(t)
 				came := map[string]int{}
 				for _, request := range zone.Received("") {
 					came[request.Header.Get(idField)]++
@@ -146,7 +146,7 @@
 				}
 			}
 			conn.Close()
-			rig.awaitReleased(t)
+			rig.awaitNoState(t)
 		})
 	}
 }
@@ -185,7 +185,7 @@
 				t.Errorf("%d attempts came, want %d", n, len(test.responses))
 			}
 			far.Close()
-			rig.awaitReleased(t)
+			rig.awaitNoState(t)
 		})
 	}
 }
@@ -212,7 +212,7 @@
 			t.Errorf("%d: %d attempts", status, len(heads))
 		}
 		conn.Close()
-		rig.awaitReleased(t)
+		rig.awaitNoState(t)
 	}
 }
 
@@ -324,7 +324,7 @@
 		t.Error(got)
 	}
 	conn.Close()
-	rig.awaitReleased(t)
+	rig.awaitNoState(t)
 	whole := 0
 	for len(bodies) > 0 {
 		switch got := <-bodies; {
@@ -407,6 +407,6 @@
 			return len(rig.clients) == 0
 		})
 		close(left)
-		rig.awaitReleased(t)
+		rig.awaitNoState(t)
 	}
 }
--- a/internal/proxy/ingress/parse.go
+++ b/internal/proxy/ingress/parse.go
@@ -13,43 +13,42 @@
 	"cresshub/internal/proxy/dispatch"
 )
 
-// Header fields of a request, named as on the operators' page.
+// Header fields of a request.
 const (
-	idField             = "X-Request-ID"       // unique among open requests; a retry has its own
-	firstAttemptIDField = "X-First-Request-ID" // of a client's retry: the id of the request that it repeats
+	idField             = "X-Request-ID"       // unique among requests in flight; a client's retry has its own
+	firstAttemptIDField = "X-First-Request-ID" // in a client's retry: the id of the original request
 	retriedField        = "X-Retried"          // "1" in a client's retry
 	classField          = "X-Priority-Class"
 	tenantField         = "X-Tenant-Id"
-	timeoutField        = "X-Timeout" // s from the request's last byte that the client waits
+	timeoutField        = "X-Timeout" // seconds that the client waits, from the request's last byte
 )
 
-// routingFields are the header fields that decide how a request is handled. None may come twice.
-var routingFields = []string{idField, classField, tenantField, timeoutField, retriedField, "Host"}
+// singleFields are the header fields that decide how a request is handled. None may be repeated.
+var singleFields = []string{idField, classField, tenantField, timeoutField, retriedField, "Host"}
 
-// maxTimeout bounds a request's time. A longer X-Timeout is as good as none.
+// maxTimeout is the longest time that a request may take; a longer X-Timeout is reduced to it.
 const maxTimeout = time.Hour
 
-// noClass is the class of a request that names none of the settings.
-const noClass = -1
+// unknownClass is the class of a request that names no class, or one that is not in the settings.
+const unknownClass = -1
 
 // rejection is a response that rejects a request; the zero value rejects nothing.
 type rejection struct {
-	status int    // of HTTP
-	reason string // for the client and the log
+	status int    // HTTP status; 0 if the request is not rejected
+	reason string // sent to the client, and logged
 }
 
-// rejects reports whether the request is rejected.
 func (r rejection) rejects() bool { return r.status != 0 }
 
-// badRequest rejects a request that the client has to correct.
+// badRequest returns a rejection with status 400: the client has to correct the request.
 func badRequest(reason string) rejection { return rejection{http1.StatusBadRequest, reason} }
 
-// parse returns what package dispatch needs to know of a request, or a rejection. The class is set in any
-// case, to noClass if no known one is named.
+// parse returns a request as package dispatch needs it, or a rejection. The class is set in both cases, to
+// unknownClass if it is missing or not in the settings.
 func (s *Server) parse(message *http1.Request, arrived time.Time) (request dispatch.Request, _ rejection) {
 	class, classKnown := s.classes[message.Header.Get(classField)]
 	if !classKnown {
-		class = noClass
+		class = unknownClass
 	}
 	request.Class = class
 	if rejection := checkMessage(message); rejection.rejects() {
@@ -73,7 +72,7 @@
 	return request, rejection{}
 }
 
-// checkMessage rejects a message that is no request of this proxy, whatever the settings.
+// checkMessage rejects a message that is invalid whatever the settings are.
 func checkMessage(message *http1.Request) rejection {
 	if message.Method != http.MethodGet && message.Method != http.MethodHead &&
 		message.Method != http.MethodPost {
@@ -82,7 +81,7 @@
 	if message.Header.Get(idField) == "" {
 		return badRequest("no X-Request-ID")
 	}
-	if name := message.Header.Repeated(routingFields...); name != "" { // servers may go by the other one
+	if name := message.Header.Repeated(singleFields...); name != "" { // a server might use the other value
 		return badRequest(name + " is repeated")
 	}
 	if message.Method != http.MethodPost && (len(message.Body) > 0 || message.Length != 0) {
@@ -91,8 +90,8 @@
 	return rejection{}
 }
 
-// parseKey returns the key that a request's target names, if any. Keys are 16 hex digits; any other text is
-// hashed.
+// parseKey returns the key from the query of a request's target, if it has one. A value that is a hexadecimal
+// number of up to 64 bits, like the usual 16 digits, is the key itself; any other text is hashed.
 func parseKey(target string) (key uint64, ok bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for pair := range strings.SplitSeq(query, "&") {
--- a/internal/proxy/ingress/parse_test.go
+++ b/internal/proxy/ingress/parse_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestParse(t *testing.T) {
-	server := &Server{classes: positions([]string{"lookup", "assign"}),
-		tenants: positions([]string{"x", "acme"})}
+	server := &Server{classes: indexByName([]string{"lookup", "assign"}),
+		tenants: indexByName([]string{"x", "acme"})}
 	arrived := time.Unix(1000, 0)
 	head := func(id, class, tenant, timeout string) http1.Header {
 		return http1.Header{{Name: "x-request-id", Value: id}, {Name: "X-Priority-Class", Value: class},
--- a/internal/proxy/ingress/reject.go
+++ b/internal/proxy/ingress/reject.go
@@ -12,8 +12,9 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// rejectConn reads one request and rejects it, on a connection for which there is no descriptor left in the
-// budget: a client whose connection is just closed could not tell what became of its request.
+// rejectConn reads one request and rejects it with status 503, on a connection for which the descriptor
+// budget has no room. If the connection were closed without a response, the client could not tell whether its
+// request was executed.
 func (s *Server) rejectConn(nc net.Conn) {
 	defer func() { <-s.rejecting }()
 	defer nc.Close()
@@ -33,12 +34,13 @@
 	if flushErr != nil || !known {
 		return
 	}
-	usageOnly := &client{} // without a connection: just for the usage of this request
+	usageOnly := &client{} // has no connection; only holds the usage of this request
 	s.startUsage(usageOnly, message, class)
-	s.countAnswer(usageOnly, s.Stats.Class(class), answerDropped, 0)
+	s.countResponse(usageOnly, s.Stats.Class(class), responseDropped, 0)
 }
 
-// reject responds to a malformed or incomplete request, unless its client has disconnected.
+// reject responds to a malformed request, or one that was incomplete at its timeout or when a drain ended the
+// wait. It does not respond after other errors, as the client has then disconnected.
 func (s *Server) reject(c *client, err error) {
 	status := 0
 	var malformed *http1.MalformedError
@@ -47,7 +49,7 @@
 		status = malformed.Status
 	case errors.Is(err, os.ErrDeadlineExceeded) && s.Serving():
 		status = http1.StatusRequestTimeout
-	case errors.Is(err, os.ErrDeadlineExceeded): // a drain has ended the wait
+	case errors.Is(err, os.ErrDeadlineExceeded): // in a drain, whose closeDue may have ended the wait
 		status = http1.StatusServiceUnavailable
 	default:
 		return
@@ -60,13 +62,13 @@
 	s.linger(c.Conn, s.limits.Load().Linger)
 }
 
-// linger ends the sending and reads on for a while after a response that ends the connection: a close with
-// unread bytes is a reset, which could overtake the response.
+// linger closes the sending side, then reads and discards what the client sends, until the client closes or
+// wait has elapsed. Closing a connection with unread bytes sends a reset, which could overtake the response.
 func (s *Server) linger(c *connbuffer.Conn, wait time.Duration) {
 	if t, ok := c.TCP(); ok {
-		_ = t.CloseWrite() // where it fails the connection has ended
+		_ = t.CloseWrite() // fails only if the connection has ended
 		c.SetReadDeadline(time.Now().Add(wait))
-		_, _ = io.Copy(io.Discard, t) // until the client closes or the time is over, which is an error too
+		_, _ = io.Copy(io.Discard, t) // ends with an error at the deadline
 	}
 }
 
@@ -76,11 +78,11 @@
 	s.Log.Warn("ingress: request rejected", logging.Status, status, logging.Err, reason)
 }
 
-// textResponse returns a local reply, one that the proxy makes itself. closes says that the connection ends
-// with it.
-func textResponse(status int, text string, closes bool) *http1.Response {
+// textResponse returns a local reply, that is, a response of the proxy itself. closeConn says that the
+// connection is closed after it.
+func textResponse(status int, text string, closeConn bool) *http1.Response {
 	return &http1.Response{
-		Status: status, Body: []byte(text + "\n"), Close: closes,
+		Status: status, Body: []byte(text + "\n"), Close: closeConn,
 		Header: http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}},
 	}
 }
--- a/internal/proxy/ingress/requestlog.go
+++ b/internal/proxy/ingress/requestlog.go
@@ -7,15 +7,15 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// Outcomes of requests in the request log.
+// Outcomes of requests, as written to the request log.
 const (
-	outcomeServed     = "served"
-	outcomeRefused    = "rejected" // rejected by the decisions
-	outcomeFailed     = "failed"
-	outcomeClientGone = "client_disconnected"
+	outcomeServed             = "served"
+	outcomeRejected           = "rejected" // by a Reject step of package dispatch
+	outcomeFailed             = "failed"
+	outcomeClientDisconnected = "client_disconnected"
 )
 
-// startLogEntry starts the log entry of a request, where requests are logged.
+// startLogEntry starts the log entry of a request, if the request log selects it.
 func (s *Server) startLogEntry(c *client, id string, request dispatch.Request) {
 	if !s.requestLog.Load().Allow() {
 		return
@@ -26,8 +26,8 @@
 	}
 }
 
-// recordOutcome adds to the log entry how a request ended; last is the attempt that decided it, -1 if there
-// was none.
+// recordOutcome adds the outcome of a request to its log entry. last is the index of the attempt that decided
+// the outcome, -1 if there was none.
 func (s *Server) recordOutcome(c *client, outcome string, status int, attempts []*attempt, last int) {
 	if c.logEntry == nil {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// logRequest writes the request's log entry, once its response is written.
+// logRequest writes the request's log entry, if it has one. It is called after the response is written.
 func (s *Server) logRequest(c *client, arrived time.Time) {
 	if c.logEntry == nil {
 		return
--- a/internal/proxy/ingress/response.go
+++ b/internal/proxy/ingress/response.go
@@ -10,17 +10,18 @@
 	"cresshub/internal/proxy/upstream"
 )
 
-// finalResponse is a request's final response and what belongs to it.
+// finalResponse is a request's final response, with its source and how it is counted.
 type finalResponse struct {
-	response *http1.Response   // nil where nobody waits for one
-	outcome  *upstream.Outcome // where response comes from, to be released; nil for a local reply
-	class    *stats.ResponseCounters    // counters of the request's class; nil for a health check
-	answer   answer            // what it counts as once it is written
+	response *http1.Response         // nil if the client has disconnected or was sent an error
+	outcome  *upstream.Outcome       // of the attempt that response comes from; nil for a local reply
+	class    *stats.ResponseCounters // counters of the request's class; nil for a health check
+	kind     responseKind            // how response is counted once it is written
 }
 
-// sendBuffer bounds the kernel's send buffer, in bytes, while a response streams. With more, writes to a slow
-// client make progress in leaps of seconds, and many such clients take megabytes each.
-const sendBuffer = 64 << 10
+// sendBufferSize bounds the kernel's send buffer, in bytes, while a response streams. With a larger one,
+// writes to a slow client make progress only every few seconds, and each of many such clients takes up
+// megabytes.
+const sendBufferSize = 64 << 10
 
 // writeResponse writes the final response and returns whether all of it was written.
 func (s *Server) writeResponse(c *client, message *http1.Request, f *finalResponse) bool {
@@ -41,23 +42,23 @@
 	if f.outcome != nil && f.outcome.Stream != nil {
 		return s.streamResponse(c, w, f, written, limits.StallTimeout)
 	}
-	s.countAnswer(c, f.class, f.answer, written)
+	s.countResponse(c, f.class, f.kind, written)
 	return true
 }
 
-// streamResponse copies the rest of a response from its server to the client. written is the number of bytes
-// of its body that were written before.
+// streamResponse copies the rest of a response from its server to the client, and returns whether all of it
+// was written. written is the number of bytes of the body that were written before.
 func (s *Server) streamResponse(c *client, w http1.BodyWriter, f *finalResponse, written int64,
-	stall time.Duration) bool {
+	stallTimeout time.Duration) bool {
 	if t, ok := c.TCP(); ok {
-		_ = t.SetWriteBuffer(sendBuffer) // with the system's own size it works too
+		_ = t.SetWriteBuffer(sendBufferSize) // on failure the system's default size is used
 	}
 	buffer, release := s.Bodies.Buffer()
 	defer release()
 	for {
 		n, readErr := f.outcome.Stream.Read(buffer)
 		written += int64(n)
-		c.SetWriteDeadline(time.Now().Add(stall))
+		c.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if n > 0 {
 			if _, err := w.Write(buffer[:n]); err != nil {
 				return false
@@ -75,15 +76,16 @@
 		case c.Flush() != nil:
 			return false
 		}
-		s.countAnswer(c, f.class, f.answer, written)
+		s.countResponse(c, f.class, f.kind, written)
 		return true
 	}
 }
 
-// failStream counts a response that its server broke off and has the connection end with a reset: the client
-// must be able to tell that the response is not complete, also where the end of the connection delimits it.
+// failStream counts a response that its server truncated, and makes the later close of the connection a
+// reset: the client must be able to tell that the response is incomplete, even if the end of the connection
+// delimits it.
 func (s *Server) failStream(c *client, f *finalResponse, written int64) {
-	s.countAnswer(c, f.class, answerBadGateway, written)
+	s.countResponse(c, f.class, responseBadGateway, written)
 	if t, ok := c.TCP(); ok {
 		t.SetLinger(0)
 	}
--- a/internal/proxy/ingress/server.go
+++ b/internal/proxy/ingress/server.go
@@ -1,12 +1,15 @@
-// Package ingress serves HTTP/1.1 clients: it accepts connections, reads requests and gives each its one
-// final response, by way of package dispatch for the decisions and package upstream for the attempts.
+// Package ingress serves HTTP/1.1 clients: it accepts connections, reads requests and writes exactly one
+// final response to each, unless its client disconnects first. Package dispatch makes the decisions, and
+// package upstream executes the attempts.
 //
-// Each connection has a goroutine, which serves one request after the other. While attempts are under way it
-// waits in Read, so that it notices when its client goes away; where an attempt reads the rest of the
-// request's body meanwhile (upload), it only looks at the connection now and then. A connection is idle,
-// receiving a request, or owned by its goroutine from a complete request to the end of the response. The
-// server's lock guards these states, and idle and receiving connections may be closed by others: to free
-// descriptors, or by a drain. All exported methods may be called from any goroutine.
+// Each connection has a goroutine, which serves its requests one after the other. While attempts are in
+// flight, the goroutine blocks in Read to detect that the client disconnects. While an attempt reads the rest
+// of the request's body, or may do so (see upload), it polls instead whether the client has disconnected.
+//
+// A connection is idle, receiving a request, or owned by its goroutine, from the end of a request's body (or
+// of the part that is buffered) to the end of its response. Server.mu guards these states. Other goroutines
+// may close idle and receiving connections: to free descriptors, or in a drain. All exported methods may be
+// called from any goroutine.
 package ingress
 
 import (
@@ -32,58 +35,59 @@
 // Server serves the clients of one listener.
 type Server struct {
 	Options
-	classes    map[string]int // positions by name
-	tenants    map[string]int // likewise
+	classes    map[string]int // indexes in Options.Classes, by name
+	tenants    map[string]int // indexes in Options.Tenants, by name
 	limits     atomic.Pointer[config.Clients]
 	requestLog atomic.Pointer[logging.RequestLog]
-	drain      atomic.Pointer[drain.State] // written under mu
-	rejecting  chan struct{}               // a token for each client that is being rejected
-	onBodySent func()                      // set by tests: called as an upload's last byte is written
+	drain      atomic.Pointer[drain.State] // written with mu held
+	rejecting  chan struct{}               // semaphore: holds one token for each running rejectConn
+	onBodySent func()                      // set by tests: called when the last byte of an upload was written
 
-	mu          sync.Mutex
-	closingIdle bool // closeIdleLoop runs
-	accepting   int  // calls of Serve that have not returned: each may have accepted a connection not in clients
-	clients     map[*client]struct{}
-	openIDs     map[string]int // users by request id: its request and the attempts that are under way
+	mu                   sync.Mutex
+	closeIdleLoopRunning bool
+	accepting            int // running calls of Serve; each may have accepted a connection not yet in clients
+	clients              map[*client]struct{}
+	openIDs              map[string]int // reference counts by request id: the request and its attempts in flight
 }
 
-// Options are what a Server works with.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	Decider     *dispatch.Decider
 	Pool        *upstream.Pool
-	ServerName        func(dispatch.ServerID) string // of a zone server
-	Classes     []string                       // names in the order of the settings
-	Tenants     []string                       // likewise; empty where requests name none
+	ServerName  func(dispatch.ServerID) string // name of a zone server, for the request log
+	Classes     []string                       // class names in the order of the settings
+	Tenants     []string                       // tenant names in that order; empty where requests have no tenant
 	Limits      config.Clients
-	DrainTimes       func() drain.Times // as they are now
-	Descriptors      *descriptors.Budget
+	DrainTimes  func() drain.Times // returns the current settings
+	Descriptors *descriptors.Budget
 	Bodies      *bodybudget.Budget
 	Stats       *stats.Set
-	Clock       *stallclock.Clock // of this process's stalls; nil for one that never stalls
-	RecordUsage func(Usage)       // called for each final response written; nil where usage is not counted
+	Clock       *stallclock.Clock // excludes stalls of this process from deadlines; nil: no stalls are excluded
+	RecordUsage func(Usage)       // called for each final response written; nil if usage is not counted
 	Log         *slog.Logger
 }
 
-// New returns a Server that logs no requests.
+// New returns a Server. It logs no requests until LogRequests is called.
 func New(o Options) *Server {
 	s := &Server{
-		Options: o, classes: positions(o.Classes), tenants: positions(o.Tenants),
+		Options: o, classes: indexByName(o.Classes), tenants: indexByName(o.Tenants),
 		rejecting: make(chan struct{}, o.Limits.MaxRejecting), clients: map[*client]struct{}{},
 		openIDs: map[string]int{},
 	}
 	s.SetLimits(o.Limits)
 	s.drain.Store(&drain.State{})
-	o.Descriptors.SetReclaim(descriptors.Clients, s.closeMostExpendable)
+	o.Descriptors.SetReclaim(descriptors.Clients, s.reclaimConnection)
 	return s
 }
 
-// SetLimits changes the time-outs of clients; waits that have begun end by the earlier ones.
+// SetLimits changes the timeouts for clients. Waits already in progress keep the timeout they started with.
 func (s *Server) SetLimits(l config.Clients) { s.limits.Store(&l) }
 
-// LogRequests sets where requests are logged; nil ends it.
+// LogRequests sets the request log; nil turns logging off.
 func (s *Server) LogRequests(r *logging.RequestLog) { s.requestLog.Store(r) }
 
-func positions(names []string) map[string]int {
+// indexByName returns the index of each name in names.
+func indexByName(names []string) map[string]int {
 	index := map[string]int{}
 	for i, name := range names {
 		index[name] = i
@@ -94,7 +98,8 @@
 // acceptBackoff is how long Serve waits after a failed accept.
 const acceptBackoff = 5 * time.Millisecond
 
-// Serve accepts clients until the listener closes.
+// Serve accepts connections until the listener is closed. Connections beyond the descriptor budget are
+// rejected with a response, or closed if MaxRejecting others are being rejected.
 func (s *Server) Serve(l net.Listener) error {
 	s.addAccepting(1)
 	defer s.addAccepting(-1)
@@ -103,7 +108,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // short of descriptors, or the client went away while it waited
+		if err != nil { // no descriptor is left, or the client disconnected while it was in the backlog
 			s.Log.Warn("ingress: accept failed", logging.Err, err)
 			time.Sleep(acceptBackoff)
 			continue
@@ -117,20 +122,20 @@
 		select {
 		case s.rejecting <- struct{}{}:
 			go s.rejectConn(nc)
-		default: // to wait for a token would keep all others waiting too
+		default: // waiting for a token here would delay all later connections
 			nc.Close()
 		}
 	}
 }
 
 // addAccepting changes the number of calls of Serve that have not returned.
-func (s *Server) addAccepting(change int) {
+func (s *Server) addAccepting(delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.accepting += change
+	s.accepting += delta
 }
 
-// admit serves a new connection.
+// admit starts the goroutine of a new connection, for which the caller has acquired a descriptor.
 func (s *Server) admit(nc net.Conn) {
 	c := &client{Conn: connbuffer.NewConn(s.Clock.Wrap(nc)), wakeup: make(chan struct{}, 1), since: time.Now(),
 		idle: true, unused: true}
@@ -139,6 +144,6 @@
 	s.mu.Unlock()
 	go s.serveConn(c)
 	if s.Descriptors.Crowded() {
-		s.closeMostExpendable()
+		s.reclaimConnection()
 	}
 }
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -11,35 +11,37 @@
 )
 
 // upload is the part of a request's body that is not buffered. One attempt reads it, in the goroutine of its
-// connection; meanwhile the request's own goroutine doesn't read the client's.
+// connection to the server; until the upload ends, the client connection's goroutine doesn't read.
 type upload struct {
 	server  *Server
 	client  *client
 	body    *http1.Body
 	call    *dispatch.Call
-	timeout time.Duration // how long the client waits for a response, from its last byte on
+	timeout time.Duration // how long the client waits for a response after it sent the last byte
 
-	claimed  atomic.Bool   // an attempt reads it
-	progress atomic.Int32  // uploadPending, uploadCounted or uploadEnded
-	ended    chan struct{} // closed when the body has ended
-	err      error         // why it ended, io.EOF where it is complete; set before ended closes
+	claimed    atomic.Bool   // an attempt has claimed the body
+	inProgress atomic.Int32  // inProgressNotCounted, inProgressCounted or inProgressEnded
+	ended      chan struct{} // closed when the body was read to its end, or failed
+	err        error         // why it ended, io.EOF if it is complete; set before ended is closed
 }
 
-// Whether an upload's request counts as in progress. Its last byte and its end may come in either order.
+// Whether an upload's request is counted in Stats.InProgress: from its last byte to the end of the request,
+// which different goroutines may report in either order.
 const (
-	uploadPending = iota
-	uploadCounted
-	uploadEnded
+	inProgressNotCounted = iota
+	inProgressCounted
+	inProgressEnded
 )
 
-// attemptUpload is an upload as one attempt has it, an upstream.Upload. Of two attempts under way at once the
-// first to claim the body reads it.
+// attemptUpload is the upstream.Upload of one attempt. Of two attempts in flight, the first to claim the body
+// reads it.
 type attemptUpload struct {
 	*upload
 	attempt int
 }
 
-// Claim reserves the body for this attempt, which is then the last one; false if another one has claimed it.
+// Claim reserves the body for this attempt, after which the Decider starts no further one. It returns false
+// if another attempt has claimed the body.
 func (u attemptUpload) Claim() bool {
 	if !u.claimed.CompareAndSwap(false, true) {
 		return false
@@ -48,7 +50,7 @@
 	return true
 }
 
-// Read reads the next bytes of the body.
+// Read reads the next bytes of the body. After an error, which ends the upload, it returns that error again.
 func (u *upload) Read(p []byte) (int, error) {
 	if u.err != nil {
 		return 0, u.err
@@ -61,26 +63,26 @@
 	return n, err
 }
 
-// Sent says that the last byte is sent: the request's time begins. It returns until when the response is
-// waited for.
+// Sent reports that the last byte was written to the server. The request's X-Timeout counts from now, and it
+// is in progress. Sent returns the time until which the attempt waits for the response.
 func (u attemptUpload) Sent() time.Time {
 	if u.server.onBodySent != nil {
 		u.server.onBodySent()
 	}
-	if u.progress.CompareAndSwap(uploadPending, uploadCounted) {
+	if u.inProgress.CompareAndSwap(inProgressNotCounted, inProgressCounted) {
 		u.server.Stats.InProgress.Add(1)
 	}
 	return u.server.Decider.BodySent(u.call, u.attempt, time.Now().Add(u.timeout))
 }
 
-// countOut ends the count of the request as in progress; Sent does not begin it after that.
-func (u *upload) countOut() {
-	if u.progress.Swap(uploadEnded) == uploadCounted {
+// endInProgress stops counting the request as in progress, and keeps a later Sent from starting the count.
+func (u *upload) endInProgress() {
+	if u.inProgress.Swap(inProgressEnded) == inProgressCounted {
 		u.server.Stats.InProgress.Add(-1)
 	}
 }
 
-// malformed is the error of a malformed body; nil if it was well-formed, or was not read to its end.
+// malformed returns the error of a malformed body; nil if the body is well-formed so far.
 func (u *upload) malformed() error {
 	select {
 	case <-u.ended:
@@ -92,19 +94,20 @@
 	return nil
 }
 
-// lastStep returns the last step of a request. Where its body broke off the client is the cause, and counts
-// as gone: whether its end or that of the attempt which read it is noticed first is chance. It has no effect
-// on a request without an upload.
+// lastStep returns the last step of a request, which is ClientDisconnected if the client aborted the upload
+// and no response was received. The attempt that read the body then fails too, and either failure may be
+// reported first, so the last step of the Decider depends on chance. A request without an upload keeps its
+// step.
 func (u *upload) lastStep(step dispatch.Step) dispatch.Step {
-	if step.Kind == dispatch.Answer || !u.brokeOff() {
+	if step.Kind == dispatch.Answer || !u.aborted() {
 		return step
 	}
 	return dispatch.Step{Kind: dispatch.ClientDisconnected, Attempt: -1}
 }
 
-// brokeOff reports whether the client disconnected, or stalled for too long, before the body was complete.
-// It is false for a request without an upload, and for a malformed body.
-func (u *upload) brokeOff() bool {
+// aborted reports whether the client disconnected, or stalled for longer than StallTimeout, before the body
+// was complete. It is false for a request without an upload, and for a malformed body.
+func (u *upload) aborted() bool {
 	if u == nil || u.malformed() != nil {
 		return false
 	}
@@ -116,7 +119,8 @@
 	}
 }
 
-// clientError is the error with which the body broke off; nil if it is complete.
+// clientError returns the error that ended the body early; nil if the body is complete. It must only be
+// called once ended is closed.
 func (u *upload) clientError() error {
 	if errors.Is(u.err, io.EOF) {
 		return nil
--- a/internal/proxy/ingress/usage.go
+++ b/internal/proxy/ingress/usage.go
@@ -7,38 +7,39 @@
 	"cresshub/internal/proxy/stats"
 )
 
-// answer is what a final response counts as. The texts are stored, and are part of the names of metrics.
-type answer string
+// responseKind is the kind as which a final response is counted. The values are stored in the usage ledger,
+// and are part of the names of metrics.
+type responseKind string
 
-// The kinds of answers. The zero value counts as nothing.
+// The kinds of final responses. One of the zero value, to a health check, is not counted.
 const (
-	answerPassed     answer = "passed"      // the response of a server
-	answerDropped    answer = "dropped"     // rejected
-	answerBadGateway answer = "bad_gateway" // an error: the request is invalid, or its attempts failed
+	responsePassed     responseKind = "passed"      // the response of a server
+	responseDropped    responseKind = "dropped"     // rejected
+	responseBadGateway responseKind = "bad_gateway" // an error: the request is invalid, or its attempts failed
 )
 
-// counter is the counter of such answers among those of a class; nil if there is none.
-func (a answer) counter(class *stats.ResponseCounters) *stats.Counter {
-	switch a {
-	case answerPassed:
+// counter returns the counter of responses of this kind among those of a class; nil for the zero value.
+func (k responseKind) counter(class *stats.ResponseCounters) *stats.Counter {
+	switch k {
+	case responsePassed:
 		return &class.Passed
-	case answerDropped:
+	case responseDropped:
 		return &class.Dropped
-	case answerBadGateway:
+	case responseBadGateway:
 		return &class.Failed
 	}
 	return nil
 }
 
-// Usage is one final response that was written, as the usage ledger counts it.
+// Usage is one request with its final response, as the usage ledger counts it once the response is written.
 type Usage struct {
 	Tenant, Class string
-	Answer        string // passed, dropped or bad_gateway
-	ID            uint64 // hash (xxhash) of the id of the request's first attempt; 0 if it has none
-	In, Out       int64  // bytes of the bodies of request and response
+	Answer        string // kind of the final response: passed, dropped or bad_gateway
+	ID            uint64 // xxhash of the request's id, for a client's retry that of the original; 0 if none
+	In, Out       int64  // bytes of the request's and of the response's body
 }
 
-// startUsage begins the usage of a request, where usage is counted.
+// startUsage begins the usage of a request, if usage is counted and the class is known.
 func (s *Server) startUsage(c *client, message *http1.Request, class int) {
 	c.usage = nil
 	if s.RecordUsage == nil || class < 0 {
@@ -55,15 +56,15 @@
 	c.usage = u
 }
 
-// countAnswer counts a final response that was written, in the counters of its class and as usage. out is the
-// number of bytes of its body.
-func (s *Server) countAnswer(c *client, class *stats.ResponseCounters, a answer, out int64) {
-	a.counter(class).Inc()
+// countResponse counts a final response that was written, in the counters of its class and as usage. out is
+// the number of bytes of its body. Each request is recorded as usage at most once.
+func (s *Server) countResponse(c *client, class *stats.ResponseCounters, kind responseKind, out int64) {
+	kind.counter(class).Inc()
 	usage := c.usage
-	if usage == nil || a == "" {
+	if usage == nil || kind == "" {
 		return
 	}
 	c.usage = nil
-	usage.Answer, usage.Out = string(a), out
+	usage.Answer, usage.Out = string(kind), out
 	s.RecordUsage(*usage)
 }
--- a/internal/proxy/ingress/usage_test.go
+++ b/internal/proxy/ingress/usage_test.go
@@ -12,7 +12,7 @@
 // Each answer counts once: in its counter of the class, and as usage of the request where usage is counted.
 func TestCountAnswer(t *testing.T) {
 	message := &http1.Request{Header: http1.Header{{Name: "X-Tenant-Id", Value: "acme"}}}
-	for _, answer := range []answer{answerPassed, answerDropped, answerBadGateway} {
+	for _, answer := range []responseKind{responsePassed, responseDropped, responseBadGateway} {
 		var recorded []Usage
 		server := &Server{Options: Options{
 			Classes: []string{"lookup"}, Stats: stats.New([]string{"lookup"}),
@@ -20,8 +20,8 @@
 		}}
 		c, class := &client{}, server.Stats.Class(0)
 		server.startUsage(c, message, 0)
-		server.countAnswer(c, class, answer, 7)
-		server.countAnswer(c, class, "", 7) // nothing of a request that has no answer
+		server.countResponse(c, class, answer, 7)
+		server.countResponse(c, class, "", 7) // nothing of a request that has no answer
 		want := Usage{Tenant: "acme", Class: "lookup", Answer: string(answer), Out: 7}
 		if diff := cmp.Diff([]Usage{want}, recorded); diff != "" {
 			t.Error(diff)
@@ -44,8 +44,8 @@
 		RecordUsage: func(u Usage) { t.Errorf("recorded %+v", u) },
 	}}
 	c := &client{}
-	server.startUsage(c, &http1.Request{}, noClass)
-	server.countAnswer(c, server.Stats.Class(noClass), answerBadGateway, 7)
+	server.startUsage(c, &http1.Request{}, unknownClass)
+	server.countResponse(c, server.Stats.Class(unknownClass), responseBadGateway, 7)
 	if n := server.Stats.Class(0).Failed.Load(); n != 0 {
 		t.Errorf("%d in the first class", n)
 	}
--- a/internal/proxy/stats/stats.go
+++ b/internal/proxy/stats/stats.go
@@ -68,7 +68,7 @@
 	// Requests received that have no final response yet.
 	InProgress Gauge
 
-	classes []string  // names
+	classes []string           // names
 	handled []ResponseCounters // by class, in the order of classes
 }
 
