--- a/internal/proxy/ingress/client_test.go
+++ b/internal/proxy/ingress/client_test.go
@@ -16,15 +16,16 @@
 	"cresshub/internal/proxy/stats"
 )
 
-// newClient returns a connected client as the server holds it, and the other end of its connection.
-func newClient() (*client, net.Conn) {
+// newTestClient returns a client over an in-memory connection, and the other end of the connection.
+func newTestClient() (*client, net.Conn) {
 	near, far := net.Pipe()
 	return &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}, far
 }
 
-// A Wake may come before its Wait, during it, or with the next request already there; none is lost.
+// Wait returns for a Wake that is called before it, during it, or after bytes of the next request have
+// arrived.
 func TestWakeIsNotLost(t *testing.T) {
-	client, far := newClient()
+	client, far := newTestClient()
 	for range 100 {
 		go client.Wake()
 		if err := client.Wait(); err != nil {
@@ -43,71 +44,72 @@
 		t.Fatal(err)
 	}
 	if client.In.Buffered() != len("early") {
-		t.Errorf("%d bytes of the next request buffered", client.In.Buffered())
+		t.Errorf("%d bytes of the next request are buffered, want all", client.In.Buffered())
 	}
 }
 
-func TestWaitNoticesClientGone(t *testing.T) {
-	client, far := newClient()
+func TestWaitReturnsWhenClientDisconnects(t *testing.T) {
+	client, far := newTestClient()
 	go far.Close()
 	if err := client.Wait(); err == nil {
-		t.Error("the client is still there")
+		t.Error("Wait returned no error after the client closed the connection")
 	}
 }
 
-// newIdleServer returns a server that doesn't listen.
-func newIdleServer() *Server {
+// newServerWithoutListener returns a server that doesn't listen.
+func newServerWithoutListener() *Server {
 	return New(Options{Limits: config.Clients{MaxRejecting: 1, ReclaimUnused: 50 * time.Millisecond,
 		ReclaimPartial: 500 * time.Millisecond, ReclaimIdle: 20 * time.Millisecond},
 		Bodies: bodybudget.NewBudget(1 << 20), Descriptors: descriptors.NewBudget(100, 0.6, 0.25),
 		Stats: &stats.Set{}, Log: slog.New(slog.DiscardHandler)})
 }
 
-// Connections are closed first where they never sent a request, then where they stall within one, then where
-// they are idle, and never with a complete request or just after they opened.
-func TestExpendabilityOrder(t *testing.T) {
-	server := newIdleServer()
-	old := time.Now().Add(-time.Minute)
+// Connections that never sent a request are reclaimed first, then those that stall within one, then idle
+// ones. A connection with a complete request, or one that opened just now, is never reclaimed.
+func TestReclaimPriorityOrder(t *testing.T) {
+	server := newServerWithoutListener()
+	aMinuteAgo := time.Now().Add(-time.Minute)
 	add := func(c *client) *client {
 		c.Conn = connbuffer.NewConn(func() net.Conn { near, _ := net.Pipe(); return near }())
 		server.clients[c] = struct{}{}
 		return c
 	}
-	add(&client{since: old})
+	add(&client{since: aMinuteAgo})
 	add(&client{idle: true, unused: true, since: time.Now().Add(time.Minute)})
 	order := []*client{
-		add(&client{idle: true, unused: true, since: old}),
-		add(&client{idle: true, unused: true, since: old.Add(time.Second)}),
-		add(&client{idle: true, unused: true, receiving: true, since: old}),
-		add(&client{idle: true, since: old}),
-		add(&client{idle: true, since: time.Now().Add(-100 * time.Millisecond)}), // one request a connection
+		add(&client{idle: true, unused: true, since: aMinuteAgo}),
+		add(&client{idle: true, unused: true, since: aMinuteAgo.Add(time.Second)}),
+		add(&client{idle: true, unused: true, receiving: true, since: aMinuteAgo}),
+		add(&client{idle: true, since: aMinuteAgo}),
+		// As of clients that open a connection for each request.
+		add(&client{idle: true, since: time.Now().Add(-100 * time.Millisecond)}),
 	}
 	for i, client := range order {
 		if !server.reclaimConnection() {
-			t.Fatalf("only %d were closed", i)
+			t.Fatalf("only %d connections were closed", i)
 		}
-		if _, held := server.clients[client]; held {
-			t.Errorf("another one than the %d. was closed", i)
+		if _, open := server.clients[client]; open {
+			t.Errorf("another connection than number %d of the order was closed", i)
 		}
 	}
 	if server.reclaimConnection() {
-		t.Error("one in use was closed")
+		t.Error("a connection in use, or a new one, was closed")
 	}
 }
 
-// Without a request log, logging costs a request no allocation.
-func TestRequestLogOffIsFree(t *testing.T) {
-	server := newIdleServer()
-	client, _ := newClient()
-	tries := []*attempt{{}}
+// Without a request log, the calls that log a request allocate nothing.
+func TestDisabledRequestLogDoesNotAllocate(t *testing.T) {
+	server := newServerWithoutListener()
+	client, _ := newTestClient()
+	attempts := []*attempt{{}}
 	if n := testing.AllocsPerRun(1000, func() {
 		if server.requestLog.Load().Allow() {
-			t.Fatal("an entry is wanted")
+			t.Fatal("a request log that is not set selects a request")
 		}
-		server.recordOutcome(client, "served", 200, tries, 0)
+		server.recordOutcome(client, "served", 200, attempts, 0)
 		server.logRequest(client, time.Time{})
 	}); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations for each request, want 0", n)
 	}
 }
 
@@ -118,7 +120,7 @@
 		reader := bufio.NewReader(strings.NewReader(buffered))
 		reader.Peek(1)
 		if got := mayStartRequest(reader); got != want {
-			t.Errorf("%q: %v", buffered, got)
+			t.Errorf("mayStartRequest of %q: %v", buffered, got)
 		}
 	}
 }
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -18,8 +18,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// newBlockedServer is a zone server whose responses wait until release is closed.
-func newBlockedServer(t *testing.T) (zone *nettest.ScriptedServer, release chan bool) {
+// newBlockedServer starts a server that responds to requests only once release is closed.
+func newBlockedServer(t *testing.T) (backend *nettest.ScriptedServer, release chan bool) {
 	t.Helper()
 	release = make(chan bool)
 	return nettest.Serve(t, func(request *http1.Request) *http1.Response {
@@ -28,22 +28,22 @@
 	}), release
 }
 
-// noStepDue are the times of a drain that goes no further than its beginning.
+// noStepDue are the times of a drain none of whose steps becomes due during a test.
 var noStepDue = drain.Times{CloseIdle: time.Hour, AcceptFor: time.Hour, CloseAll: time.Hour,
 	ClosePartial: time.Hour}
 
-// startShutdown begins the shutdown of a rig and returns once its state says so.
+// startShutdown calls Shutdown in a goroutine and returns once the drain is on.
 func (r *testRig) startShutdown(t *testing.T) {
 	t.Helper()
 	go func() {
 		r.Shutdown(r.listener)
-		close(r.ended)
+		close(r.shutdownDone)
 	}()
-	nettest.Until(t, "it ends", func() bool { return !r.Serving() })
+	nettest.Until(t, "the drain is on", func() bool { return !r.Serving() })
 }
 
-// nextOutcome returns what a client reads next: the status and body of a response, or how the connection
-// ended.
+// nextOutcome returns what a client reads next: the status and body of a response, "end" if the connection
+// has ended, or "nothing" if the read timed out.
 func nextOutcome(conn *connbuffer.Conn) string {
 	response, err := http1.ReadResponse(conn.In)
 	var timeout net.Error
@@ -56,19 +56,19 @@
 	return "end"
 }
 
-// Requests that a client sent before the connection was due to close are answered, also where it did not wait
-// for the response before; then Shutdown returns.
+// Requests that a client sent before its connection was due to close get their responses, pipelined ones too.
+// Shutdown returns afterwards.
 func TestShutdownServesPipelinedRequests(t *testing.T) {
-	for _, lame := range []bool{false, true} {
+	for _, lameDuck := range []bool{false, true} {
 		rig := newRig(t, nil)
-		due := rig.drainTimes.Load()
+		originalTimes := rig.drainTimes.Load()
 		rig.drainTimes.Store(&noStepDue)
-		zone, release := newBlockedServer(t)
-		rig.list(zone.Address)
+		backend, release := newBlockedServer(t)
+		rig.setServers(backend.Address)
 		conn := nettest.Dial(t, rig.address)
 		io.WriteString(conn, getRequest("one")+getRequest("two"))
-		nettest.Until(t, "the first is sent", func() bool { return len(zone.Received("")) == 1 })
-		if lame {
+		nettest.Until(t, "the first request is sent", func() bool { return len(backend.Received("")) == 1 })
+		if lameDuck {
 			rig.LameDuck(true)
 		} else {
 			rig.startShutdown(t)
@@ -76,24 +76,25 @@
 		close(release)
 		got := nextOutcome(conn) + ", " + nextOutcome(conn) + ", " + nextOutcome(conn)
 		if got != "200 one, 200 two, end" {
-			t.Errorf("lame %v: %s", lame, got)
+			t.Errorf("lame duck %v: %s", lameDuck, got)
 		}
-		rig.drainTimes.Store(due)
-		if lame {
+		rig.drainTimes.Store(originalTimes)
+		if lameDuck {
 			rig.startShutdown(t)
 		}
-		<-rig.ended
+		<-rig.shutdownDone
 	}
 }
 
-// A connection whose next request was buffered together with the one before does not count as idle.
+// A connection whose next request was buffered together with the previous one does not count as idle, so a
+// drain does not close it.
 func TestBufferedRequestIsNotIdle(t *testing.T) {
-	server := newIdleServer()
+	server := newServerWithoutListener()
 	far, near := tcpPair(t)
 	c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1)}
 	server.clients[c] = struct{}{}
 	io.WriteString(far, "GET /one\r\nGET /two\r\n")
-	nettest.Until(t, "all has come", func() bool { c.In.Peek(1); return c.In.Buffered() == 20 })
+	nettest.Until(t, "both requests are buffered", func() bool { c.In.Peek(1); return c.In.Buffered() == 20 })
 	c.In.Discard(10)
 	server.markIdle(c)
 	server.mu.Lock()
@@ -101,7 +102,7 @@
 	_, open := server.clients[c]
 	server.mu.Unlock()
 	if !open {
-		t.Error("it was closed")
+		t.Error("the connection was closed with a request in its buffer")
 	}
 	c.In.Discard(10)
 	server.markIdle(c)
@@ -110,37 +111,39 @@
 	_, open = server.clients[c]
 	server.mu.Unlock()
 	if open {
-		t.Error("one that rests stayed")
+		t.Error("the connection was not closed when it was idle")
 	}
 }
 
-// Nor does one whose first byte has just been consumed from the socket. The test holds the lock as a drain
-// does, from before the request until it has seen the connection in every state.
-func TestFirstByteEndsIdle(t *testing.T) {
+// A connection does not count as idle once the first byte of a request has arrived, whether the byte is still
+// in the socket or has been consumed. The test holds the lock, as a drain does, from before the request is
+// sent until closeDue has run. If the connection's goroutine consumed bytes before markReceiving, which needs
+// the lock, closeDue would take the connection for idle.
+func TestConnectionIsNotIdleAfterFirstByte(t *testing.T) {
 	rig := newRig(t, nil)
-	zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	rig.list(zone.Address)
+	backend := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+	rig.setServers(backend.Address)
 	for i := range 10 {
 		conn := nettest.Dial(t, rig.address)
-		if i%2 > 0 { // one idle after a request, and one that never had any
+		if i%2 > 0 { // every second connection is idle after a request; the others never had one
 			nettest.Ask(t, conn, getRequest(fmt.Sprint("before-", i)))
 		}
-		var rests *client
-		nettest.Until(t, "it is idle", func() bool {
+		var idle *client
+		nettest.Until(t, "the connection is idle", func() bool {
 			rig.Server.mu.Lock()
 			defer rig.Server.mu.Unlock()
-			for rests = range rig.clients {
+			for idle = range rig.clients {
 			}
-			return rests != nil && rests.idle
+			return idle != nil && idle.idle
 		})
 		rig.Server.mu.Lock()
-		before := rests.LastReceived()
+		before := idle.LastReceived()
 		io.WriteString(conn, getRequest(fmt.Sprint(i)))
-		nettest.Until(t, "its bytes arrive", func() bool {
-			return !rests.Still() || rests.LastReceived() != before
+		nettest.Until(t, "the bytes of the request arrive", func() bool {
+			return !idle.Still() || idle.LastReceived() != before
 		})
-		for range 50 { // or until its bytes are consumed, which is all there is to observe
-			if rests.LastReceived() != before {
+		for range 50 { // time for the goroutine to consume the bytes, if it does so without the lock
+			if idle.LastReceived() != before {
 				break
 			}
 			time.Sleep(100 * time.Microsecond)
@@ -151,7 +154,7 @@
 			t.Errorf("%d: %s", i, got)
 		}
 		conn.Close()
-		nettest.Until(t, "it is gone", func() bool {
+		nettest.Until(t, "the proxy has closed the connection", func() bool {
 			rig.Server.mu.Lock()
 			defer rig.Server.mu.Unlock()
 			return len(rig.clients) == 0
@@ -159,7 +162,7 @@
 	}
 }
 
-// tcpPair returns both ends of a connection over loopback.
+// tcpPair returns both ends of a TCP connection over loopback.
 func tcpPair(t *testing.T) (far, near net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -177,49 +180,51 @@
 	return far, near
 }
 
-// On shutdown half a head is answered at the limit, servers that hang are waited for until the deadline and
-// no longer, and new connections are accepted for as long as configured.
+// During a shutdown, new connections are accepted for AcceptFor, a request with an incomplete head is
+// rejected when it is due by the drain times, idle connections are closed, and a request whose server hangs
+// gets its error response at its deadline.
 func TestShutdownWithAllKindsOfClients(t *testing.T) {
 	t.Parallel()
 	rig := newRig(t, nil)
-	due := rig.drainTimes.Load()
-	rig.drainTimes.Store(&noStepDue) // until the new connections have been answered
-	zone, release := newBlockedServer(t)
+	originalTimes := rig.drainTimes.Load()
+	rig.drainTimes.Store(&noStepDue) // until the new connections have got their responses
+	backend, release := newBlockedServer(t)
 	defer close(release)
-	rig.list(zone.Address)
-	half, hangs, rests := nettest.Dial(t, rig.address), nettest.Dial(t, rig.address),
+	rig.setServers(backend.Address)
+	incomplete, hanging, idle := nettest.Dial(t, rig.address), nettest.Dial(t, rig.address),
 		nettest.Dial(t, rig.address)
-	io.WriteString(half, "GET /api HT")
-	io.WriteString(hangs, nettest.Request("POST", "assign", "hangs", 4*time.Second))
-	nettest.Until(t, "the request is sent", func() bool { return len(zone.Received("")) == 1 })
+	io.WriteString(incomplete, "GET /api HT")
+	io.WriteString(hanging, nettest.Request("POST", "assign", "hangs", 4*time.Second))
+	nettest.Until(t, "the request is sent", func() bool { return len(backend.Received("")) == 1 })
 	rig.startShutdown(t)
 	for range 20 {
 		conn := nettest.Dial(t, rig.address)
 		io.WriteString(conn, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\n\r\n")
 		if got := nextOutcome(conn); got != "503 sending clients away" {
-			t.Errorf("a new connection: %s", got)
+			t.Errorf("new connection: %s", got)
 		}
 	}
-	rig.drainTimes.Store(due)
-	if got := nextOutcome(half); !strings.HasPrefix(got, "503 ") {
-		t.Errorf("half a head: %s", got)
+	rig.drainTimes.Store(originalTimes)
+	if got := nextOutcome(incomplete); !strings.HasPrefix(got, "503 ") {
+		t.Errorf("connection with an incomplete head: %s", got)
 	}
-	if got := nextOutcome(rests); got != "end" {
-		t.Errorf("one that rests: %s", got)
+	if got := nextOutcome(idle); got != "end" {
+		t.Errorf("idle connection: %s", got)
 	}
-	if got := nextOutcome(hangs); got != "504 no answer in time" {
-		t.Errorf("one that waits: %s", got)
+	if got := nextOutcome(hanging); got != "504 no answer in time" {
+		t.Errorf("connection whose server hangs: %s", got)
 	}
-	<-rig.ended
+	<-rig.shutdownDone
 }
 
-// The last byte of a request may cross with the close of its connection: it is answered, or it was not sent.
-func TestRequestCrossesWithClose(t *testing.T) {
+// A request may cross with the close of its idle connection. It then either gets its response, or was not
+// sent to a server.
+func TestRequestRacesWithIdleClose(t *testing.T) {
 	rig := newRig(t, nil)
-	zone := nettest.Serve(t, func(request *http1.Request) *http1.Response {
+	backend := nettest.Serve(t, func(request *http1.Request) *http1.Response {
 		return nettest.OK(request.Header.Get(idField))
 	})
-	rig.list(zone.Address)
+	rig.setServers(backend.Address)
 	const n = 50
 	answered := make([]string, n)
 	var wg sync.WaitGroup
@@ -234,7 +239,7 @@
 	rig.startShutdown(t)
 	for i, conn := range conns {
 		wg.Add(1)
-		go func() { // throughout the time in which idle connections are closed
+		go func() { // the requests are spread over the time in which idle connections are closed
 			defer wg.Done()
 			time.Sleep(time.Duration(i) * 3 * time.Millisecond)
 			io.WriteString(conn, getRequest(fmt.Sprint(i)))
@@ -242,19 +247,19 @@
 		}()
 	}
 	wg.Wait()
-	<-rig.ended
+	<-rig.shutdownDone
 	sent := map[string]bool{}
-	for _, request := range zone.Received("") {
+	for _, request := range backend.Received("") {
 		sent[request.Header.Get(idField)] = true
 	}
 	for i, got := range answered {
 		if id := fmt.Sprint(i); (got == "200 "+id) != sent[id] || got == "nothing" {
-			t.Errorf("%s: %s, sent: %v", id, got, sent[id])
+			t.Errorf("request %s: the client reads %q; sent to a server: %v", id, got, sent[id])
 		}
 	}
 }
 
-// On and off in any order leave one closeIdleLoop at most, and the last call counts.
+// Concurrent calls of LameDuck leave at most one closeIdleLoop, and the last call takes effect.
 func TestLameDuckTogglesKeepOneLoop(t *testing.T) {
 	rig := newRig(t, nil)
 	for range 20 {
@@ -267,10 +272,10 @@
 		rig.LameDuck(true)
 		conn := nettest.Dial(t, rig.address)
 		if got := nextOutcome(conn); got != "end" {
-			t.Errorf("while it is on: %s", got)
+			t.Errorf("new connection in lame duck state: %s, want end", got)
 		}
 		rig.LameDuck(false)
-		nettest.Until(t, "the sweep ends", func() bool {
+		nettest.Until(t, "closeIdleLoop returns", func() bool {
 			rig.Server.mu.Lock()
 			defer rig.Server.mu.Unlock()
 			return !rig.closeIdleLoopRunning
@@ -278,37 +283,39 @@
 	}
 }
 
-// A response that ends its connection is received in full, though more had arrived than was read: the
-// connection ends with FIN, not with a reset.
+// A response after which the proxy closes the connection is received in full, even if the proxy has not read
+// all that the client sent: the connection ends with a FIN, not with a reset.
 func TestLastResponseBeforeClose(t *testing.T) {
 	for name, full := range map[string]bool{"ends": false, "turned away": true} {
 		t.Run(name, func(t *testing.T) {
 			rig := newRig(t, nil)
-			zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-			rig.list(zone.Address)
+			backend := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+			rig.setServers(backend.Address)
 			text := strings.Replace(getRequest("id"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1) +
 				strings.Repeat(getRequest("next"), 100)
 			if full {
 				for n := int64(1); rig.Stats.RejectedConns.Load() == 0; n++ {
 					io.WriteString(nettest.Dial(t, rig.address), "GET /")
-					nettest.Until(t, "it is accepted", func() bool { return rig.Stats.AcceptedConns.Load() == n })
+					nettest.Until(t, "the connection is accepted", func() bool {
+						return rig.Stats.AcceptedConns.Load() == n
+					})
 				}
 				text = postRequest("id", 8000, strings.Repeat("x", 8000))
 			}
 			conn := nettest.Dial(t, rig.address)
 			io.WriteString(conn, text)
 			if got := nextOutcome(conn); got != map[bool]string{false: "200 ", true: "503 "}[full] {
-				t.Fatalf("answer %q", got)
+				t.Fatalf("the client reads %q", got)
 			}
 			if _, err := conn.In.Peek(1); err != io.EOF {
-				t.Errorf("then %v", err)
+				t.Errorf("after the response: %v, want EOF", err)
 			}
 		})
 	}
 }
 
-// A request that has arrived when the idle time-out passes is served all the same: the goroutine may be
-// scheduled after both.
+// A request that has arrived by the time the connection's goroutine runs is served, even if its timeout has
+// passed too.
 func TestRequestArrivesAsIdleTimeoutEnds(t *testing.T) {
 	rig := newRig(t, nil)
 	limits := *rig.limits.Load()
@@ -318,9 +325,9 @@
 		far, near := tcpPair(t)
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1), idle: true, unused: true}
-		nettest.Until(t, "it is there", func() bool { return !c.Still() })
+		nettest.Until(t, "the request has arrived", func() bool { return !c.Still() })
 		if !rig.Descriptors.Acquire(descriptors.Clients) {
-			t.Fatal("no place")
+			t.Fatal("the descriptor budget is exhausted")
 		}
 		rig.serveConn(c)
 		far.SetDeadline(time.Now().Add(nettest.Patience))
@@ -330,13 +337,13 @@
 	}
 }
 
-// blockingListener returns from Accept only once release is closed, like a process that is stalled just after
-// a connection was accepted.
+// blockingListener is a listener whose Accept returns a connection only once release is closed, as if the
+// process stalled just after it accepted the connection.
 type blockingListener struct {
 	net.Listener
-	accepted chan struct{} // closed with the first connection
+	accepted chan struct{} // closed when the first connection is accepted
 	release  chan struct{}
-	closes   atomic.Int64 // calls of Close
+	closes   atomic.Int64 // number of calls of Close
 }
 
 func (l *blockingListener) Accept() (net.Conn, error) {
@@ -353,53 +360,54 @@
 	return l.Listener.Close()
 }
 
-// A connection that was accepted, but not admitted when all others have ended, is served before Shutdown
-// returns: its response has to be counted before the ledger is closed.
-func TestShutdownAwaitsAnAcceptedConnection(t *testing.T) {
+// Shutdown waits for a connection that was accepted but not yet admitted when all others have ended: its
+// response must be counted as usage before the ledger is closed.
+func TestShutdownWaitsForAcceptedConnection(t *testing.T) {
 	rig := newRig(t, nil)
-	zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("late") })
-	rig.list(zone.Address)
+	backend := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("late") })
+	rig.setServers(backend.Address)
 	rig.listener.Close()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := &blockingListener{Listener: inner, accepted: make(chan struct{}), release: make(chan struct{})}
-	rig.listener = held
-	go rig.Serve(held)
+	blocking := &blockingListener{Listener: inner, accepted: make(chan struct{}), release: make(chan struct{})}
+	rig.listener = blocking
+	go rig.Serve(blocking)
 	conn := nettest.Dial(t, inner.Addr().String())
 	io.WriteString(conn, getRequest("one"))
-	<-held.accepted
+	<-blocking.accepted
 
 	rig.drainTimes.Store(&drain.Times{})
 	rig.startShutdown(t)
-	nettest.Until(t, "Shutdown has looked twice whether all has ended", func() bool {
+	nettest.Until(t, "Shutdown has checked twice whether all connections have ended", func() bool {
 		select {
-		case <-rig.ended:
+		case <-rig.shutdownDone:
 			return true
 		default:
-			return held.closes.Load() > 2
+			return blocking.closes.Load() > 2
 		}
 	})
 	select {
-	case <-rig.ended:
-		t.Fatal("Shutdown has returned, and the connection is not served yet")
+	case <-rig.shutdownDone:
+		t.Fatal("Shutdown returned before the accepted connection was served")
 	default:
 	}
-	close(held.release)
+	close(blocking.release)
 	if got := nextOutcome(conn); got != "200 late" {
 		t.Errorf("the client reads %s", got)
 	}
-	<-rig.ended
+	<-rig.shutdownDone
 }
 
-// A connection whose request is incomplete is not ended by a drain while bytes of the rest are in the socket.
-func TestDrainLeavesWhatHasArrived(t *testing.T) {
-	server := newIdleServer()
+// A drain does not end the wait for the rest of an incomplete request while unread bytes of it are in the
+// socket.
+func TestDrainKeepsConnectionWithUnreadBytes(t *testing.T) {
+	server := newServerWithoutListener()
 	far, near := tcpPair(t)
 	c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1), idle: true, receiving: true}
 	server.clients[c] = struct{}{}
-	endPartial := func() (ended bool) {
+	closePartial := func() (ended bool) {
 		server.mu.Lock()
 		defer server.mu.Unlock()
 		c.SetReadDeadline(time.Time{})
@@ -408,14 +416,14 @@
 	}
 	io.WriteString(far, "GET /one")
 	nettest.Until(t, "the bytes arrive", func() bool { return !c.Still() })
-	if endPartial() {
-		t.Error("it was ended before its goroutine had read what has arrived")
+	if closePartial() {
+		t.Error("the wait was ended before the connection's goroutine had read the bytes that had arrived")
 	}
 	if _, err := c.In.Peek(len("GET /one")); err != nil {
-		t.Fatalf("what has arrived is not read: %v", err)
+		t.Fatalf("reading the bytes that have arrived: %v", err)
 	}
 	c.In.Discard(c.In.Buffered())
-	if !endPartial() {
-		t.Error("one that stalls was not ended")
+	if !closePartial() {
+		t.Error("the wait was not ended though no bytes were left")
 	}
 }
--- a/internal/proxy/ingress/interleaving_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -14,10 +14,10 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// awaitNoState waits until nothing is retained for any client.
+// awaitNoState waits until the proxy retains no state of any client.
 func (r *testRig) awaitNoState(t *testing.T) {
 	t.Helper()
-	nettest.Until(t, "nothing is held", func() bool {
+	nettest.Until(t, "the proxy retains no state", func() bool {
 		r.Server.mu.Lock()
 		defer r.Server.mu.Unlock()
 		return len(r.clients) == 0 && len(r.openIDs) == 0 && r.Bodies.Used() == 0 && len(r.rejecting) == 0 &&
@@ -25,12 +25,12 @@
 	})
 }
 
-// Whatever a bad client sends and however it goes away, no state is retained for it, at most its complete
-// requests are sent, each once, and others are served.
-func TestBadClientsLeaveNoState(t *testing.T) {
-	much := ""
+// Whatever a misbehaving client sends and however it disconnects, no state is retained for it, none but its
+// complete requests are sent to servers, each at most once, and other clients are served.
+func TestMisbehavingClientsLeaveNoState(t *testing.T) {
+	manyRequests := ""
 	for i := range 300 {
-		much += getRequest(fmt.Sprint("much-", i))
+		manyRequests += getRequest(fmt.Sprint("much-", i))
 	}
 	for name, text := range map[string]string{
 		"a connect and nothing": "",
@@ -39,7 +39,7 @@
 		"half a large body":     postRequest("half", 100_000, strings.Repeat("x", 50_000)),
 		"one and gone":          getRequest("one"),
 		"pipelined and gone":    getRequest("one") + getRequest("two") + getRequest("three"),
-		"much and gone":         much,
+		"much and gone":         manyRequests,
 		"noise":                 strings.Repeat("\x00\xff", 5000),
 		"a line without end":    strings.Repeat("x", 200_000),
 		"a head without end":    "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 50_000),
@@ -53,10 +53,10 @@
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				rig := newRig(t, nil)
-				zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-				rig.list(zone.Address)
+				backend := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+				rig.setServers(backend.Address)
 				conn := nettest.Dial(t, rig.address)
-				io.WriteString(conn, text) // as much as is read before it is answered and closed
+				io.WriteString(conn, text) // as much as the proxy reads before it responds and closes
 				leave(conn.Conn.(*net.TCPConn))
 				if way == "ends sending" {
 					io.Copy(io.Discard, conn)
@@ -68,13 +68,13 @@
 					t.Errorf("another client gets %d", response.Status)
 				}
 				rig.awaitNoState(t)
-				came := map[string]int{}
-				for _, request := range zone.Received("") {
-					came[request.Header.Get(idField)]++
+				received := map[string]int{}
+				for _, request := range backend.Received("") {
+					received[request.Header.Get(idField)]++
 				}
-				for id, n := range came {
+				for id, n := range received {
 					if n > 1 || id == "half" || id == "bad" || id == "chunk" {
-						t.Errorf("%s came %d times", id, n)
+						t.Errorf("the server received request %s %d times", id, n)
 					}
 				}
 			})
@@ -82,36 +82,38 @@
 	}
 }
 
-// hedgedTarget is the latency target of requests that are to be hedged. What counts as unusually long, and is
-// hedged, is a twelfth of it as long as few responses were seen.
-const hedgedTarget = 10 * time.Second
+// hedgeLatencyTarget is the latency target of requests that the tests want hedged. While few responses have
+// been seen, a request is hedged after a twelfth of its latency target.
+const hedgeLatencyTarget = 10 * time.Second
 
-// askUntilAccepted is nettest.Ask for a request that may be refused: what a stall of this machine delays
-// counts as a queue. A refused request was not sent to any server.
-func askUntilAccepted(t *testing.T, conn *connbuffer.Conn, text string) (response *http1.Response) {
+// askUntilNotRejected is nettest.Ask for a request that may be rejected, since a stall of the test machine
+// looks like a queue at the servers: it repeats the request until it is not. A rejected request was not sent
+// to any server.
+func askUntilNotRejected(t *testing.T, conn *connbuffer.Conn, text string) (response *http1.Response) {
 	t.Helper()
-	nettest.Until(t, "it is accepted", func() bool {
+	nettest.Until(t, "the request is not rejected", func() bool {
 		response = nettest.Ask(t, conn, text)
 		return response.Status != 503 || string(response.Body) != "refused\n"
 	})
 	return response
 }
 
-// Of two hedged attempts the first response is passed on, once; the other, cancelled or not, is dropped.
-func TestHedgedRequestAnswersFirst(t *testing.T) {
-	for _, may := range []bool{true, false} {
-		t.Run(fmt.Sprint("cancel ", may), func(t *testing.T) {
+// Of the responses to a request and to its hedged attempt, the first is passed on, once; the other is
+// dropped, whether its attempt may be cancelled or not.
+func TestHedgedRequestPassesOnFirstResponse(t *testing.T) {
+	for _, mayCancel := range []bool{true, false} {
+		t.Run(fmt.Sprint("cancel ", mayCancel), func(t *testing.T) {
 			t.Parallel()
 			rig := newRig(t, func(settings *balance.Settings) {
-				settings.MayCancel, settings.Classes[0].LatencyTarget = may, hedgedTarget
+				settings.MayCancel, settings.Classes[0].LatencyTarget = mayCancel, hedgeLatencyTarget
 			})
-			slow, answer := make(chan bool, 1), make(chan bool)
-			zone := func(name string) *nettest.ScriptedServer {
+			slow, respond := make(chan bool, 1), make(chan bool)
+			newBackend := func(name string) *nettest.ScriptedServer {
 				return nettest.Serve(t, func(request *http1.Request) *http1.Response {
 					if request.Header.Get(idField) == "twice" {
 						select {
 						case slow <- true: // the first attempt
-							<-answer
+							<-respond
 							return nettest.OK("late")
 						default:
 						}
@@ -119,30 +121,30 @@
 					return nettest.OK("first")
 				})
 			}
-			a, b := zone("a"), zone("b")
-			rig.list(a.Address, b.Address)
+			a, b := newBackend("a"), newBackend("b")
+			rig.setServers(a.Address, b.Address)
 			conn := nettest.Dial(t, rig.address)
-			for i := range 9 { // then the usual time of a response is known
-				askUntilAccepted(t, conn, getRequest(fmt.Sprint("before-", i)))
+			for i := range 9 { // the proxy learns the usual latency
+				askUntilNotRejected(t, conn, getRequest(fmt.Sprint("before-", i)))
 			}
-			if response := askUntilAccepted(t, conn, getRequest("twice")); response.Status != 200 ||
+			if response := askUntilNotRejected(t, conn, getRequest("twice")); response.Status != 200 ||
 				string(response.Body) != "first" {
 				t.Errorf("%d %s", response.Status, response.Body)
 			}
 			attempts := 0
 			for _, request := range append(a.Received(""), b.Received("")...) {
-				if request.Header.Get(idField) == "twice" { // any other that a stall delays may be hedged too
+				if request.Header.Get(idField) == "twice" { // other requests may be hedged too, after a stall
 					attempts++
 				}
 			}
 			if attempts != 2 {
-				t.Errorf("it was sent %d times, want two", attempts)
+				t.Errorf("the request was sent %d times, want 2", attempts)
 			}
-			close(answer)
-			for i := range 9 { // the late response is not passed on to any of these
-				response := askUntilAccepted(t, conn, getRequest(fmt.Sprint("after-", i)))
+			close(respond)
+			for i := range 9 { // none of these gets the late response
+				response := askUntilNotRejected(t, conn, getRequest(fmt.Sprint("after-", i)))
 				if string(response.Body) != "first" {
-					t.Errorf("after it: %d %s", response.Status, response.Body)
+					t.Errorf("after the hedged request: %d %s", response.Status, response.Body)
 				}
 			}
 			conn.Close()
@@ -151,18 +153,18 @@
 	}
 }
 
-// Where every server has rejected a request it is refused at once, for it never ran; where the last attempt
-// broke off, what must not run twice has failed.
+// A request that every server rejected is rejected at once, as it was never executed. A request that must be
+// executed at most once fails if the connection of its last attempt was closed without a response.
 func TestNoServerLeftToAttempt(t *testing.T) {
-	away := &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
+	rejected := &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
 	for name, test := range map[string]struct {
 		responses []*http1.Response
 		want      string
 	}{
-		"turned away":           {[]*http1.Response{away, away, away}, "503 refused"},
+		"turned away":           {[]*http1.Response{rejected, rejected, rejected}, "503 refused"},
 		"broken off":            {[]*http1.Response{nettest.CloseConn}, "502 failed"},
-		"away, then broken off": {[]*http1.Response{away, nettest.CloseConn}, "502 failed"},
-		"away, then an error":   {[]*http1.Response{away, away, {Status: 500}}, "502 failed"},
+		"away, then broken off": {[]*http1.Response{rejected, nettest.CloseConn}, "502 failed"},
+		"away, then an error":   {[]*http1.Response{rejected, rejected, {Status: 500}}, "502 failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rig := newRig(t, nil)
@@ -170,8 +172,8 @@
 			for _, response := range test.responses {
 				next <- response
 			}
-			zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return <-next })
-			rig.list(zone.Address, zone.Address)
+			backend := nettest.Serve(t, func(*http1.Request) *http1.Response { return <-next })
+			rig.setServers(backend.Address, backend.Address)
 			far := nettest.Dial(t, rig.address)
 			began := time.Now()
 			io.WriteString(far, postRequest("id", 1, "x"))
@@ -179,10 +181,10 @@
 				t.Error(got)
 			}
 			if took := time.Since(began); took > 5*time.Second { // of a deadline of 30 s
-				t.Errorf("after %v", took)
+				t.Errorf("the response came after %v", took)
 			}
-			if n := len(zone.Received("")); n != len(test.responses) || len(next) > 0 {
-				t.Errorf("%d attempts came, want %d", n, len(test.responses))
+			if n := len(backend.Received("")); n != len(test.responses) || len(next) > 0 {
+				t.Errorf("the server received %d attempts, want %d", n, len(test.responses))
 			}
 			far.Close()
 			rig.awaitNoState(t)
@@ -190,45 +192,45 @@
 	}
 }
 
-// Where a server answers before the request is complete, and closes, its response is passed on or the attempt
-// fails: the request is not sent again, and nothing is retained.
+// If a server responds before the request is complete, and closes the connection, its response is passed on
+// or the attempt fails. Either way the request is not sent again, and no state is retained.
 func TestResponseBeforeRequestIsComplete(t *testing.T) {
 	for _, status := range []int{200, 500} {
 		rig := newRig(t, nil)
 		heads := make(chan bool, 9)
-		zone := nettest.Listen(t, func(conn *connbuffer.Conn) {
+		backend := nettest.Listen(t, func(conn *connbuffer.Conn) {
 			if _, _, err := http1.ReadRequestHead(conn.In); err == nil {
 				heads <- true
 				fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: 5\r\n\r\nearly", status)
 			}
 		})
-		rig.list(zone, zone)
+		rig.setServers(backend, backend)
 		conn := nettest.Dial(t, rig.address)
 		go io.WriteString(conn, postRequest("id", 1<<20, strings.Repeat("x", 1<<20)))
 		if got := nextOutcome(conn); got == "nothing" || got == "200 early" && status == 500 {
-			t.Errorf("%d: %s", status, got)
+			t.Errorf("server's status %d: the client reads %q", status, got)
 		}
 		if len(heads) != 1 {
-			t.Errorf("%d: %d attempts", status, len(heads))
+			t.Errorf("server's status %d: %d attempts, want 1", status, len(heads))
 		}
 		conn.Close()
 		rig.awaitNoState(t)
 	}
 }
 
-// A body may be as slow as each chunk of it arrives within a stall, whatever part of the coding is buffered
-// already; the time-out of the head does not apply to it.
+// A body may take any time as long as each of its chunks arrives within StallTimeout, whatever part of the
+// chunked coding is buffered already. HeadTimeout does not apply to a body.
 func TestStallTimeoutRestartsWithEachChunk(t *testing.T) {
 	for _, size := range []int{1000, 100_000} { // buffered, and streamed
 		rig := newRig(t, nil)
 		limits := *rig.limits.Load()
 		limits.HeadTimeout = 200 * time.Millisecond
 		rig.SetLimits(limits)
-		zone := nettest.Serve(t, func(request *http1.Request) *http1.Response {
+		backend := nettest.Serve(t, func(request *http1.Request) *http1.Response {
 			return nettest.OK(fmt.Sprint(len(request.Body)))
 		})
 		if size > http1.MaxBufferedBody {
-			zone.Address = nettest.Listen(t, func(conn *connbuffer.Conn) {
+			backend.Address = nettest.Listen(t, func(conn *connbuffer.Conn) {
 				_, body, err := http1.ReadRequestHead(conn.In)
 				if err == nil {
 					n, _ := io.Copy(io.Discard, body)
@@ -237,22 +239,22 @@
 				}
 			})
 		}
-		rig.list(zone.Address)
+		rig.setServers(backend.Address)
 		conn := nettest.Dial(t, rig.address)
 		text := strings.Replace(postRequest("id", 1, ""), "Content-Length: 1", "Transfer-Encoding: chunked", 1)
 		io.WriteString(conn, text+fmt.Sprintf("%x\r\n%s\r\n", size, strings.Repeat("x", size)))
-		time.Sleep(300 * time.Millisecond) // longer than the time-out of a head
+		time.Sleep(300 * time.Millisecond) // longer than HeadTimeout
 		io.WriteString(conn, "1\r\nx\r\n")
 		time.Sleep(300 * time.Millisecond)
 		io.WriteString(conn, "0\r\n\r\n")
 		if got, want := nextOutcome(conn), fmt.Sprint("200 ", size+1); got != want {
-			t.Errorf("%d bytes: %s", size, got)
+			t.Errorf("body of %d bytes: the client reads %q", size, got)
 		}
 	}
 }
 
-// A hedged attempt of a large request may be decided while the first waits for its connection. Its body can
-// be read once: one of the two has all of it, and the other is never sent.
+// A hedged attempt of a large request may be decided while the first attempt waits for its connection. The
+// body can be read only once: one of the two attempts sends all of it, and the other is never sent.
 func TestUploadIsReadByOneAttempt(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 100000", "Transfer-Encoding: chunked"} {
 		t.Run(framing, func(t *testing.T) {
@@ -262,12 +264,12 @@
 	}
 }
 
-// checkHedgedUpload hedges a request with a large body of that framing.
+// checkHedgedUpload checks a hedged request whose large body has the given framing header field.
 func checkHedgedUpload(t *testing.T, framing string) {
 	t.Helper()
-	rig := newRig(t, func(settings *balance.Settings) { settings.Classes[0].LatencyTarget = hedgedTarget })
+	rig := newRig(t, func(settings *balance.Settings) { settings.Classes[0].LatencyTarget = hedgeLatencyTarget })
 	bodies := make(chan string, 9)
-	zone := nettest.Listen(t, func(conn *connbuffer.Conn) {
+	backend := nettest.Listen(t, func(conn *connbuffer.Conn) {
 		for {
 			request, body, err := http1.ReadRequestHead(conn.In)
 			if err != nil {
@@ -284,24 +286,24 @@
 			conn.Flush()
 		}
 	})
-	rig.list(zone, zone)
+	rig.setServers(backend, backend)
 	conn := nettest.Dial(t, rig.address)
 	for i := range 9 {
-		askUntilAccepted(t, conn, getRequest(fmt.Sprint("before-", i)))
+		askUntilNotRejected(t, conn, getRequest(fmt.Sprint("before-", i)))
 	}
-	nettest.Until(t, "all their attempts end", func() bool {
+	nettest.Until(t, "all attempts have ended", func() bool {
 		rig.Server.mu.Lock()
 		defer rig.Server.mu.Unlock()
 		return len(rig.openIDs) == 0
 	})
 	rig.mu.Lock()
-	from, both := rig.lookups, make(chan bool)
+	previous, bothReady := rig.lookups, make(chan bool)
 	rig.onLookup = func(n int) {
-		switch n - from { // 1 and 3 as the attempts are decided, 2 and 4 right before their first bytes
+		switch n - previous { // 1 and 3 as the attempts start, 2 and 4 just before their first bytes
 		case 2:
-			<-both
+			<-bothReady
 		case 4:
-			close(both)
+			close(bothReady)
 		}
 	}
 	rig.mu.Unlock()
@@ -313,7 +315,8 @@
 		text += fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	}
 	got := ""
-	nettest.Until(t, "it is accepted", func() bool { // as by askUntilAccepted, but a refusal ends the connection
+	// As in askUntilNotRejected, but the connection ends with a rejection.
+	nettest.Until(t, "the request is not rejected", func() bool {
 		conn.Close()
 		conn = nettest.Dial(t, rig.address)
 		go io.WriteString(conn, text)
@@ -325,27 +328,28 @@
 	}
 	conn.Close()
 	rig.awaitNoState(t)
-	whole := 0
+	complete := 0
 	for len(bodies) > 0 {
 		switch got := <-bodies; {
 		case got == "100000 100000 <nil>":
-			whole++
+			complete++
 		case strings.HasSuffix(got, "<nil>"):
-			t.Errorf("taken for whole: %s", got)
+			t.Errorf("an incomplete body was read without an error: %s", got)
 		}
 	}
-	if whole != 1 {
-		t.Errorf("%d whole ones came", whole)
+	if complete != 1 {
+		t.Errorf("the server received %d complete bodies, want 1", complete)
 	}
 }
 
-// A response that its server breaks off while it is streamed ends so that the client can tell, also where the
-// end of the connection delimits it and more of the client's bytes wait behind the request.
+// A response that its server truncates while it is streamed ends with a reset, so that the client can tell,
+// even if the end of the connection delimits the response and bytes of the client are unread behind its
+// request.
 func TestBrokenStreamResetsClient(t *testing.T) {
-	for _, behind := range []string{"", "GET /api HTTP/1.0\r\n"} {
+	for _, pipelined := range []string{"", "GET /api HTTP/1.0\r\n"} {
 		rig := newRig(t, nil)
 		passed := make(chan bool)
-		zone := nettest.Listen(t, func(conn *connbuffer.Conn) {
+		backend := nettest.Listen(t, func(conn *connbuffer.Conn) {
 			if _, err := http1.ReadRequest(conn.In); err != nil {
 				return
 			}
@@ -353,9 +357,9 @@
 			<-passed
 			conn.Conn.(*net.TCPConn).SetLinger(0)
 		})
-		rig.list(zone)
+		rig.setServers(backend)
 		conn := nettest.Dial(t, rig.address)
-		io.WriteString(conn, strings.Replace(getRequest("id"), "HTTP/1.1", "HTTP/1.0", 1)+behind)
+		io.WriteString(conn, strings.Replace(getRequest("id"), "HTTP/1.1", "HTTP/1.0", 1)+pipelined)
 		response, body, err := http1.ReadResponseHead(conn.In, "GET")
 		if err != nil || response.Status != 200 {
 			t.Fatalf("%+v, %v", response, err)
@@ -365,48 +369,52 @@
 		}
 		close(passed)
 		if n, err := io.Copy(io.Discard, body); err == nil {
-			t.Errorf("behind %q: it ends after %d bytes as if it were whole", behind, 70_000+n)
+			t.Errorf("pipelined %q: the response ends without an error after %d bytes", pipelined, 70_000+n)
 		}
 	}
 }
 
-// A client that goes away just as the last byte of its large body is sent is counted out again, whichever of
-// the two is noticed first.
-func TestClientGoneAsUploadCompletes(t *testing.T) {
-	for _, leavesFirst := range []bool{true, false} {
+// A request whose client disconnects just as the last byte of its large body is sent does not stay counted as
+// in progress, whichever of the two is noticed first.
+func TestClientDisconnectsAsUploadCompletes(t *testing.T) {
+	for _, disconnectsFirst := range []bool{true, false} {
 		rig := newRig(t, nil)
-		sent, left := make(chan bool, 1), make(chan bool)
+		sent, disconnected := make(chan bool, 1), make(chan bool)
 		rig.onBodySent = func() {
-			if leavesFirst {
+			if disconnectsFirst {
 				sent <- true
-				<-left
+				<-disconnected
 			}
 		}
-		got := make(chan bool, 1)
-		zone := nettest.Listen(t, func(conn *connbuffer.Conn) {
+		bodyReceived := make(chan bool, 1)
+		backend := nettest.Listen(t, func(conn *connbuffer.Conn) {
 			if _, body, err := http1.ReadRequestHead(conn.In); err == nil {
 				io.Copy(io.Discard, body)
-				got <- true
-				io.Copy(io.Discard, conn) // and no response
+				bodyReceived <- true
+				io.Copy(io.Discard, conn) // without a response
 			}
 		})
-		rig.list(zone)
+		rig.setServers(backend)
 		conn := nettest.Dial(t, rig.address)
 		io.WriteString(conn, postRequest("id", 100_000, strings.Repeat("x", 100_000)))
-		<-got
-		if leavesFirst {
+		<-bodyReceived
+		if disconnectsFirst {
 			<-sent
 		} else {
-			nettest.Until(t, "it counts", func() bool { return rig.Stats.InProgress.Load() == 1 })
+			nettest.Until(t, "the request counts as in progress", func() bool {
+				return rig.Stats.InProgress.Load() == 1
+			})
 		}
 		conn.Close()
-		nettest.Until(t, "it counts as gone", func() bool { return rig.Stats.ClientDisconnected.Load() == 1 })
-		nettest.Until(t, "its connection is closed", func() bool {
+		nettest.Until(t, "the disconnect is counted", func() bool {
+			return rig.Stats.ClientDisconnected.Load() == 1
+		})
+		nettest.Until(t, "the client's connection is closed", func() bool {
 			rig.Server.mu.Lock()
 			defer rig.Server.mu.Unlock()
 			return len(rig.clients) == 0
 		})
-		close(left)
+		close(disconnected)
 		rig.awaitNoState(t)
 	}
 }
--- a/internal/proxy/ingress/parse_test.go
+++ b/internal/proxy/ingress/parse_test.go
@@ -19,7 +19,7 @@
 		return http1.Header{{Name: "x-request-id", Value: id}, {Name: "X-Priority-Class", Value: class},
 			{Name: "X-Tenant-Id", Value: tenant}, {Name: "X-Timeout", Value: timeout}}
 	}
-	in := func(after time.Duration) time.Time { return arrived.Add(after) }
+	deadlineIn := func(timeout time.Duration) time.Time { return arrived.Add(timeout) }
 	for _, test := range []struct {
 		name           string
 		method, target string
@@ -28,10 +28,10 @@
 		status         int
 	}{
 		{"all fields", "GET", "/api?key=1f", head("1", "lookup", "acme", "0.480"),
-			dispatch.Request{Tenant: 1, Key: 0x1f, HasKey: true, Deadline: in(480 * time.Millisecond)}, 0},
+			dispatch.Request{Tenant: 1, Key: 0x1f, HasKey: true, Deadline: deadlineIn(480 * time.Millisecond)}, 0},
 		{"a retry by the client, and the longest deadline", "POST", "/api?other=2",
 			append(head("1", "assign", "x", "1e9"), http1.Field{Name: "X-Retried", Value: "1"}),
-			dispatch.Request{Class: 1, Deadline: in(maxTimeout), ClientRetry: true}, 0},
+			dispatch.Request{Class: 1, Deadline: deadlineIn(maxTimeout), ClientRetry: true}, 0},
 		{"two timeouts", "GET", "/", append(head("1", "lookup", "x", "1"),
 			http1.Field{Name: "X-Timeout", Value: "2"}),
 			dispatch.Request{}, 400},
@@ -53,17 +53,17 @@
 			t.Errorf("%s: %s %s %v: status %d", test.name, test.method, test.target, test.header, rejection.status)
 		}
 		if diff := cmp.Diff(test.want, got); !rejection.rejects() && diff != "" {
-			t.Errorf("%s: %s", test.name, diff)
+			t.Errorf("%s: (-want +got)\n%s", test.name, diff)
 		}
 	}
 }
 
-func TestKey(t *testing.T) {
-	word, _ := parseKey("/?key=tea%20house")
+func TestParseKey(t *testing.T) {
+	textKey, _ := parseKey("/?key=tea%20house")
 	for target, want := range map[string]string{
 		"/api?key=7f3a9c21e0b4d655": fmt.Sprint(uint64(0x7f3a9c21e0b4d655), true),
 		"/api?a=b&key=10":           fmt.Sprint(16, true),
-		"/api?key=tea+house":        fmt.Sprint(word, true),
+		"/api?key=tea+house":        fmt.Sprint(textKey, true),
 		"/api?key=":                 "0 false",
 		"/api?monkey=1":             "0 false",
 		"/api":                      "0 false",
--- a/internal/proxy/ingress/retrywindow_test.go
+++ b/internal/proxy/ingress/retrywindow_test.go
@@ -10,8 +10,9 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// Servers drop duplicates within a window only. A retry that was decided in time but would have its first
-// byte later, because its connection was slow to open or its goroutine had to wait, is not written.
+// Servers recognize duplicates only within DedupWindow after the first attempt. A retry that was decided
+// within the window is not sent if its first byte would be written after it, because its connection was slow
+// to open or its goroutine had to wait.
 func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		window := nettest.Patience
@@ -22,20 +23,20 @@
 			class := &settings.Classes[1]
 			class.Effect, class.DedupWindow, class.DedupScope = balance.Deduplicated, window, balance.DedupFleet
 		})
-		first := make(chan time.Time, 1) // when the request arrived at its first server, which breaks off
-		zone := nettest.Serve(t, func(request *http1.Request) *http1.Response {
+		first := make(chan time.Time, 1) // when the first server got the request; it then closes
+		backend := nettest.Serve(t, func(request *http1.Request) *http1.Response {
 			if len(first) == 0 {
 				first <- time.Now()
 				return nettest.CloseConn
 			}
 			return nettest.OK("")
 		})
-		rig.list(zone.Address, zone.Address)
+		rig.setServers(backend.Address, backend.Address)
 		rig.mu.Lock()
 		rig.onLookup = func(n int) {
-			if n == 4 && late { // right before the first byte of the retry
+			if n == 4 && late { // just before the first byte of the retry is written
 				at := <-first
-				time.Sleep(time.Until(at.Add(window))) // the window is over for sure
+				time.Sleep(time.Until(at.Add(window))) // until the window, which began earlier, has surely ended
 				first <- at
 			}
 		}
@@ -44,13 +45,14 @@
 		io.WriteString(conn, postRequest("id", 1, "x"))
 		got, want := nextOutcome(conn), "200 "
 		if late {
-			want = "503 refused" // allowed: all servers drop duplicates, so a client's retry is harmless
+			// May be rejected though it was sent: all servers drop duplicates, so a client's retry is harmless.
+			want = "503 refused"
 		}
 		if got != want {
-			t.Errorf("late %v: %s", late, got)
+			t.Errorf("late %v: the client reads %q", late, got)
 		}
-		if n := len(zone.Received("")); n != map[bool]int{false: 2, true: 1}[late] {
-			t.Errorf("late %v: %d attempts came", late, n)
+		if n := len(backend.Received("")); n != map[bool]int{false: 2, true: 1}[late] {
+			t.Errorf("late %v: the server received %d attempts", late, n)
 		}
 	}
 }
--- a/internal/proxy/ingress/stalls_test.go
+++ b/internal/proxy/ingress/timeouts_test.go
@@ -11,19 +11,19 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// A client whose request is late as this process did not run gets its response; one that is slow itself is
-// told so.
-func TestRequestIsNotLateForAStallOfTheProxy(t *testing.T) {
+// A request whose head is not received within HeadTimeout because this process stalled is served; if the
+// client is slow, it is rejected with status 408.
+func TestProxyStallDoesNotTimeOutRequest(t *testing.T) {
 	for _, stalled := range []bool{false, true} {
 		rig := newRig(t, nil)
 		if stalled {
-			rig.Clock.Inject(time.Now().Add(time.Hour), time.Hour) // from now on
+			rig.Clock.Inject(time.Now().Add(time.Hour), time.Hour) // stalls from now on
 		}
 		limits := *rig.limits.Load()
 		limits.HeadTimeout = time.Millisecond
 		rig.SetLimits(limits)
-		zone := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("x") })
-		rig.list(zone.Address)
+		backend := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("x") })
+		rig.setServers(backend.Address)
 		conn := nettest.Dial(t, rig.address)
 		request := getRequest("one")
 		io.WriteString(conn, request[:20])
@@ -31,16 +31,16 @@
 		if !stalled {
 			want = "408 "
 		} else {
-			nettest.Until(t, "the beginning is read", func() bool { return rig.isReceiving() })
+			nettest.Until(t, "the start of the request is read", func() bool { return rig.isReceiving() })
 			io.WriteString(conn, request[20:])
 		}
 		if got := nextOutcome(conn); got[:4] != want[:4] {
-			t.Errorf("stalled %v: the client reads %s", stalled, got)
+			t.Errorf("stalled %v: the client reads %q", stalled, got)
 		}
 	}
 }
 
-// isReceiving reports whether a client's request has begun and is not complete.
+// isReceiving reports whether the request of the only client has begun and is incomplete.
 func (r *testRig) isReceiving() bool {
 	r.Server.mu.Lock()
 	defer r.Server.mu.Unlock()
@@ -50,10 +50,10 @@
 	return false
 }
 
-// A client that stalls in the middle of its large body counts as gone, whichever is noticed first: the end
-// of its body or that of the attempt which reads it.
-func TestUploadThatBreaksOffCountsAsGone(t *testing.T) {
-	gone := dispatch.Step{Kind: dispatch.ClientDisconnected, Attempt: -1}
+// A client that stalls within its large body counts as disconnected, whichever is noticed first: the timeout
+// of the body, or the end of the attempt that reads it.
+func TestAbortedUploadCountsAsClientDisconnect(t *testing.T) {
+	disconnected := dispatch.Step{Kind: dispatch.ClientDisconnected, Attempt: -1}
 	answer := dispatch.Step{Kind: dispatch.Answer, Attempt: 1}
 	rejected := dispatch.Step{Kind: dispatch.Reject}
 	ended := func(err error) *upload {
@@ -69,12 +69,12 @@
 		"not ended":         {&upload{ended: make(chan struct{})}, rejected, rejected},
 		"complete":          {ended(io.EOF), rejected, rejected},
 		"malformed":         {ended(&http1.MalformedError{}), rejected, rejected},
-		"stalled":           {ended(os.ErrDeadlineExceeded), rejected, gone},
-		"stalled, failed":   {ended(os.ErrDeadlineExceeded), dispatch.Step{Kind: dispatch.Fail}, gone},
+		"stalled":           {ended(os.ErrDeadlineExceeded), rejected, disconnected},
+		"stalled, failed":   {ended(os.ErrDeadlineExceeded), dispatch.Step{Kind: dispatch.Fail}, disconnected},
 		"stalled, answered": {ended(os.ErrDeadlineExceeded), answer, answer},
 	} {
 		if got := test.upload.lastStep(test.step); got != test.want {
-			t.Errorf("%s: %+v, not %+v", name, got, test.want)
+			t.Errorf("%s: %+v, want %+v", name, got, test.want)
 		}
 	}
 }
--- a/internal/proxy/ingress/usage_test.go
+++ b/internal/proxy/ingress/usage_test.go
@@ -9,10 +9,10 @@
 	"cresshub/internal/proxy/stats"
 )
 
-// Each answer counts once: in its counter of the class, and as usage of the request where usage is counted.
-func TestCountAnswer(t *testing.T) {
+// Each final response is counted once: in the counter of its kind and class, and as usage of its request.
+func TestCountResponse(t *testing.T) {
 	message := &http1.Request{Header: http1.Header{{Name: "X-Tenant-Id", Value: "acme"}}}
-	for _, answer := range []responseKind{responsePassed, responseDropped, responseBadGateway} {
+	for _, kind := range []responseKind{responsePassed, responseDropped, responseBadGateway} {
 		var recorded []Usage
 		server := &Server{Options: Options{
 			Classes: []string{"lookup"}, Stats: stats.New([]string{"lookup"}),
@@ -20,9 +20,9 @@
 		}}
 		c, class := &client{}, server.Stats.Class(0)
 		server.startUsage(c, message, 0)
-		server.countResponse(c, class, answer, 7)
-		server.countResponse(c, class, "", 7) // nothing of a request that has no answer
-		want := Usage{Tenant: "acme", Class: "lookup", Answer: string(answer), Out: 7}
+		server.countResponse(c, class, kind, 7)
+		server.countResponse(c, class, "", 7) // is not counted
+		want := Usage{Tenant: "acme", Class: "lookup", Answer: string(kind), Out: 7}
 		if diff := cmp.Diff([]Usage{want}, recorded); diff != "" {
 			t.Error(diff)
 		}
@@ -30,15 +30,15 @@
 			"passed": class.Passed.Load(), "dropped": class.Dropped.Load(), "bad_gateway": class.Failed.Load(),
 		}
 		wantCounters := map[string]int64{"passed": 0, "dropped": 0, "bad_gateway": 0}
-		wantCounters[string(answer)] = 1
+		wantCounters[string(kind)] = 1
 		if diff := cmp.Diff(wantCounters, counters); diff != "" {
 			t.Error(diff)
 		}
 	}
 }
 
-// A request of an unknown class has no usage, and its answer is in no class's counters.
-func TestCountAnswerOfUnknownClass(t *testing.T) {
+// A request of an unknown class has no usage, and its response is in no class's counters.
+func TestCountResponseOfUnknownClass(t *testing.T) {
 	server := &Server{Options: Options{
 		Classes: []string{"lookup"}, Stats: stats.New([]string{"lookup"}),
 		RecordUsage: func(u Usage) { t.Errorf("recorded %+v", u) },
@@ -47,6 +47,6 @@
 	server.startUsage(c, &http1.Request{}, unknownClass)
 	server.countResponse(c, server.Stats.Class(unknownClass), responseBadGateway, 7)
 	if n := server.Stats.Class(0).Failed.Load(); n != 0 {
-		t.Errorf("%d in the first class", n)
+		t.Errorf("%d responses are counted in the first class, want 0", n)
 	}
 }
