--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -1,30 +1,30 @@
-// Package drain decides how a proxy drains: which connections of clients close when, so that clients find
-// another proxy. A drain is temporary (lame duck, as in the Google SRE book), by an operator's call, or
-// final, once the process shuts down. Idle connections close first, so that clients move on before
-// requests are rejected; a request that has arrived always gets its response.
+// Package drain decides how a proxy drains: which client connections are closed when, so that clients move to
+// another proxy. A drain is temporary (lame duck state, as in the Google SRE book), on an operator's call, or
+// final, when the process shuts down. Idle connections are closed first, so that clients move on before
+// requests are rejected; a request that has arrived completely always gets its response.
 //
-// It is a pure state machine: the caller (package ingress) passes in the time and does what Plan says. A
-// State is an immutable value, which any goroutine may read.
+// The package is a pure state machine: its caller, package ingress, passes in the current time and executes
+// the Plan. A State is an immutable value, which any goroutine may read.
 package drain
 
 import "time"
 
-// Times are how long after the beginning of a drain each of its steps begins.
+// Times are the delays from the start of a drain to each of its steps.
 type Times struct {
-	CloseIdle    time.Duration // connections close that have been idle since the drain began
-	AcceptFor    time.Duration // new connections are no longer accepted; at a shutdown only
-	CloseAll     time.Duration // all idle connections close, also those that became idle since
-	ClosePartial time.Duration // connections with an incomplete request close; at a shutdown by CloseAll
+	CloseIdle    time.Duration // closes connections that have been idle since the drain began
+	AcceptFor    time.Duration // stops accepting connections; only in a shutdown
+	CloseAll     time.Duration // closes all idle connections, also those that became idle since
+	ClosePartial time.Duration // closes connections with an incomplete request; in a shutdown by CloseAll
 }
 
-// State is which drains are on and since when. In the zero State none is.
+// State records which drains are on, and since when. In the zero State none is.
 type State struct {
-	lameDuckSince time.Time // zero where there is no temporary drain
+	lameDuckSince time.Time // zero if there is no temporary drain
 	shutdownSince time.Time // zero before the shutdown
 }
 
-// LameDuck returns the state after an operator's call, which begins or ends the temporary drain. To begin it
-// again changes nothing, and nothing undoes End.
+// LameDuck returns the state after an operator has begun or ended the temporary drain. Beginning it again
+// does not restart it, and nothing undoes Shutdown.
 func (s State) LameDuck(on bool, now time.Time) State {
 	switch {
 	case !on:
@@ -35,7 +35,7 @@
 	return s
 }
 
-// Shutdown returns the state after a signal to shut down; only the first one counts.
+// Shutdown returns the state after a signal to shut down; a later signal changes nothing.
 func (s State) Shutdown(now time.Time) State {
 	if s.shutdownSince.IsZero() {
 		s.shutdownSince = now
@@ -46,25 +46,26 @@
 // Serving reports whether no drain is on.
 func (s State) Serving() bool { return s.lameDuckSince.IsZero() && s.shutdownSince.IsZero() }
 
-// ShuttingDown reports whether the process shuts down.
+// ShuttingDown reports whether the process is shutting down.
 func (s State) ShuttingDown() bool { return !s.shutdownSince.IsZero() }
 
-// Plan is what the caller has to do in a state at one moment. The zero Plan asks for nothing.
+// Plan is what the caller has to do at one moment of a drain. The zero Plan requires nothing.
 type Plan struct {
-	// IdleBefore is the time before which the connections that are to close became idle; zero if none are.
+	// IdleBefore says that connections that became idle before this time must be closed; zero for none.
 	IdleBefore time.Time
-	// PartialBefore is the same for the beginning of requests that are still incomplete.
+	// PartialBefore says that incomplete requests that began before this time must be ended; zero for none.
 	PartialBefore time.Time
 	// StopAccepting says that new connections are no longer accepted.
 	StopAccepting bool
-	// LastResponse says that the next response on each connection is its last, even if another request has
-	// already arrived there.
+	// LastResponse says that each connection is closed after its next response, even if another request has
+	// already arrived on it.
 	LastResponse bool
 	// MayExit says that the process may exit once no connection is open.
 	MayExit bool
 }
 
-// Plan returns what is to be done now. Where both drains are on, the one that has got further counts.
+// Plan returns what has to be done now. If both drains are on, each step is due once it is due in either
+// drain.
 func (s State) Plan(now time.Time, times Times) Plan {
 	var plan Plan
 	for _, since := range []time.Time{s.lameDuckSince, s.shutdownSince} {
@@ -84,7 +85,7 @@
 	}
 	if s.ShuttingDown() {
 		age := now.Sub(s.shutdownSince)
-		if age >= times.CloseAll { // the process may be killed before a later request has its response
+		if age >= times.CloseAll { // the process may be killed before a request completed later has its response
 			plan.PartialBefore = now
 		}
 		plan.StopAccepting = age >= times.AcceptFor
