--- a/internal/proxy/stats/stats_test.go
+++ b/internal/proxy/stats/stats_test.go
@@ -19,7 +19,7 @@
 	for _, want := range []string{"why=asked", "requests.received=2", "requests.served=1",
 		"requests.client_disconnected=0", "sent.bad=1", "probed.good=1"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %s in %s", want, out.String())
+			t.Errorf("%s is missing in the record %s", want, out.String())
 		}
 	}
 }
