--- a/internal/proxy/descriptors/budget_test.go
+++ b/internal/proxy/descriptors/budget_test.go
@@ -3,16 +3,16 @@
 import "testing"
 
 func TestBudgetReclaimsIdleConnectionsAtItsLimits(t *testing.T) {
-	b := NewBudget(reserved+8, 0.6, 0.25)
+	b := NewBudget(reservedDescriptors+8, 0.6, 0.25)
 	acquire := func(side Side, want bool) {
 		t.Helper()
 		if got := b.Acquire(side); got != want {
-			t.Fatalf("%v of side %d, limits are 4 and 8; used %v", got, side, b.used)
+			t.Fatalf("Acquire returned %v for side %d; limits are 4 and 8, used by side %v", got, side, b.used)
 		}
 	}
 	for i := range 4 {
 		if b.Crowded() != (i > 2) {
-			t.Errorf("crowded %v with %d clients of 8 places", b.Crowded(), i)
+			t.Errorf("Crowded returned %v with %d clients and a budget of 8", b.Crowded(), i)
 		}
 		acquire(Clients, true)
 	}
@@ -33,9 +33,9 @@
 		})
 	}
 	idle = [2]int{1, 1}
-	acquire(Clients, true) // a flood of clients costs no connection to a server
+	acquire(Clients, true) // closes an idle client connection, but no connection to a server
 	if idle != [2]int{0, 1} {
-		t.Errorf("idle left: %v", idle)
+		t.Errorf("idle connections left, by side: %v", idle)
 	}
 	acquire(Servers, true)
 	acquire(Servers, false)
@@ -45,9 +45,10 @@
 	acquire(Servers, true)
 }
 
-// A process that shares its limit closes idle connections and acquires no more than its fraction.
+// When a process lowers its descriptor limit, it closes idle connections, and acquires none until it is below
+// the new limit.
 func TestResizeClosesIdleConnections(t *testing.T) {
-	b := NewBudget(reserved+16, 0.6, 0.25)
+	b := NewBudget(reservedDescriptors+16, 0.6, 0.25)
 	idle := 3
 	b.SetReclaim(Servers, func() bool {
 		if idle == 0 {
@@ -60,12 +61,12 @@
 	for range 12 {
 		b.Acquire(Servers)
 	}
-	b.Resize(reserved + 8)
+	b.Resize(reservedDescriptors + 8)
 	if idle != 0 || b.used[Servers] != 9 || b.Acquire(Servers) || b.Acquire(Clients) {
-		t.Errorf("%d idle left, %v used of 8", idle, b.used)
+		t.Errorf("%d idle connections left, used by side %v of 8", idle, b.used)
 	}
-	b.Resize(reserved + 16)
+	b.Resize(reservedDescriptors + 16)
 	if !b.Acquire(Servers) || !b.Acquire(Clients) {
-		t.Error("the limit stays down")
+		t.Error("nothing is acquired after the limit was raised again")
 	}
 }
