--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -97,7 +97,7 @@
 }
 
 // attempt is one attempt with its outcome. Done writes the outcome before it reports it to the Decider, and
-// the request's goroutine reads it only after a step that follows from the report, so neither holds a lock.
+// the request's goroutine reads it only after a step that follows from the report, so no lock guards it.
 type attempt struct {
 	upstream.Attempt
 	outcome upstream.Outcome
--- a/internal/proxy/ingress/client_test.go
+++ b/internal/proxy/ingress/client_test.go
@@ -81,7 +81,7 @@
 		add(&client{idle: true, unused: true, since: aMinuteAgo.Add(time.Second)}),
 		add(&client{idle: true, unused: true, receiving: true, since: aMinuteAgo}),
 		add(&client{idle: true, since: aMinuteAgo}),
-		// As of clients that open a connection for each request.
+		// Idle for a short time only, as those of clients that open a connection for each request.
 		add(&client{idle: true, since: time.Now().Add(-100 * time.Millisecond)}),
 	}
 	for i, client := range order {
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -17,8 +17,8 @@
 func (s *Server) ShuttingDown() bool { return s.drain.Load().ShuttingDown() }
 
 // closesAfterResponse reports whether a drain closes the connection after its current response. If the client
-// has already sent more bytes, as with a pipelined request, the connection stays open until the drain's plan
-// sets LastResponse.
+// has already sent more bytes, as with a pipelined request, the connection stays open for these, unless the
+// drain's plan sets LastResponse.
 func (s *Server) closesAfterResponse(c *client) bool {
 	d := s.drain.Load()
 	return !d.Serving() && (d.Plan(time.Now(), s.DrainTimes()).LastResponse || c.Quiet())
--- a/internal/proxy/ingress/serve.go
+++ b/internal/proxy/ingress/serve.go
@@ -57,7 +57,7 @@
 }
 
 // awaitRequest waits for the first byte of a request and marks the connection as receiving. It returns false
-// if no byte arrives before the timeout.
+// if no byte arrives before the timeout or the end of the connection.
 func (s *Server) awaitRequest(c *client, limits *config.Clients) bool {
 	limit := limits.IdleTimeout
 	if c.unused { // read without the lock, since only this goroutine clears it
