--- a/internal/proxy/descriptors/budget_test.go
+++ b/internal/proxy/descriptors/budget_test.go
@@ -45,8 +45,8 @@
 	acquire(Servers, true)
 }
 
-// When a process lowers its descriptor limit, it closes idle connections, and acquires none until it is below
-// the new limit.
+// When the limit is lowered, as during a handover between two processes that share it, idle connections are
+// closed, and none is acquired until enough others have ended.
 func TestResizeClosesIdleConnections(t *testing.T) {
 	b := NewBudget(reservedDescriptors+16, 0.6, 0.25)
 	idle := 3
