--- a/internal/proxy/ingress/disconnect_test.go
+++ b/internal/proxy/ingress/disconnect_test.go
@@ -17,10 +17,10 @@
 // disconnectWays are the ways in which a client disconnects, by name. To close just the sending side is one
 // of them, because a full close looks the same to the proxy.
 var disconnectWays = map[string]func(*net.TCPConn){
-	"closes":         func(c *net.TCPConn) { c.Close() },
-	"resets":         func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-	"ends sending":   func(c *net.TCPConn) { c.CloseWrite() },
-	"sends on first": func(c *net.TCPConn) { io.WriteString(c, "GET /api"); c.Close() },
+	"closes":                  func(c *net.TCPConn) { c.Close() },
+	"resets":                  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	"ends sending":            func(c *net.TCPConn) { c.CloseWrite() },
+	"sends more, then closes": func(c *net.TCPConn) { io.WriteString(c, "GET /api"); c.Close() },
 }
 
 // getRequest returns the text of an idempotent request without a body.
@@ -37,13 +37,13 @@
 // arrived or not, and whatever else the client has sent.
 func TestClientDisconnectsWhileRequestWaits(t *testing.T) {
 	for name, text := range map[string]string{
-		"alone":           getRequest("id"),
-		"pipelined":       getRequest("id") + getRequest("next"),
-		"half a request":  getRequest("id") + "GET /a",
-		"more than fits":  getRequest("id") + strings.Repeat(getRequest("next"), 200),
-		"upload":          postRequest("id", 100_000, strings.Repeat("x", 10_000)),
-		"a whole upload":  postRequest("id", 100_000, strings.Repeat("x", 100_000)),
-		"upload and more": postRequest("id", 70_000, strings.Repeat("x", 70_000)) + getRequest("next"),
+		"alone":                      getRequest("id"),
+		"pipelined":                  getRequest("id") + getRequest("next"),
+		"half a request":             getRequest("id") + "GET /a",
+		"more than the buffer holds": getRequest("id") + strings.Repeat(getRequest("next"), 200),
+		"upload":                     postRequest("id", 100_000, strings.Repeat("x", 10_000)),
+		"a whole upload":             postRequest("id", 100_000, strings.Repeat("x", 100_000)),
+		"upload and more":            postRequest("id", 70_000, strings.Repeat("x", 70_000)) + getRequest("next"),
 	} {
 		for way, leave := range disconnectWays {
 			t.Run(name+", "+way, func(t *testing.T) {
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -286,14 +286,14 @@
 // A response after which the proxy closes the connection is received in full, even if the proxy has not read
 // all that the client sent: the connection ends with a FIN, not with a reset.
 func TestLastResponseBeforeClose(t *testing.T) {
-	for name, full := range map[string]bool{"ends": false, "turned away": true} {
+	for name, overBudget := range map[string]bool{"ends": false, "beyond the descriptor budget": true} {
 		t.Run(name, func(t *testing.T) {
 			rig := newRig(t, nil)
 			backend := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 			rig.setServers(backend.Address)
 			text := strings.Replace(getRequest("id"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1) +
 				strings.Repeat(getRequest("next"), 100)
-			if full {
+			if overBudget {
 				for n := int64(1); rig.Stats.RejectedConns.Load() == 0; n++ {
 					io.WriteString(nettest.Dial(t, rig.address), "GET /")
 					nettest.Until(t, "the connection is accepted", func() bool {
@@ -304,7 +304,7 @@
 			}
 			conn := nettest.Dial(t, rig.address)
 			io.WriteString(conn, text)
-			if got := nextOutcome(conn); got != map[bool]string{false: "200 ", true: "503 "}[full] {
+			if got := nextOutcome(conn); got != map[bool]string{false: "200 ", true: "503 "}[overBudget] {
 				t.Fatalf("the client reads %q", got)
 			}
 			if _, err := conn.In.Peek(1); err != io.EOF {
--- a/internal/proxy/ingress/interleaving_test.go
+++ b/internal/proxy/ingress/interleaving_test.go
@@ -33,17 +33,17 @@
 		manyRequests += getRequest(fmt.Sprint("much-", i))
 	}
 	for name, text := range map[string]string{
-		"a connect and nothing": "",
-		"half a line":           "GET /api",
-		"half a body":           postRequest("half", 90, "x"),
-		"half a large body":     postRequest("half", 100_000, strings.Repeat("x", 50_000)),
-		"one and gone":          getRequest("one"),
-		"pipelined and gone":    getRequest("one") + getRequest("two") + getRequest("three"),
-		"much and gone":         manyRequests,
-		"noise":                 strings.Repeat("\x00\xff", 5000),
-		"a line without end":    strings.Repeat("x", 200_000),
-		"a head without end":    "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 50_000),
-		"a length that is none": strings.Replace(postRequest("bad", 1, "x"), "Length: 1", "Length: -1", 1),
+		"a connection without a request": "",
+		"half a line":                    "GET /api",
+		"half a body":                    postRequest("half", 90, "x"),
+		"half a large body":              postRequest("half", 100_000, strings.Repeat("x", 50_000)),
+		"one request":                    getRequest("one"),
+		"pipelined requests":             getRequest("one") + getRequest("two") + getRequest("three"),
+		"many pipelined requests":        manyRequests,
+		"noise":                          strings.Repeat("\x00\xff", 5000),
+		"a line without end":             strings.Repeat("x", 200_000),
+		"a head without end":             "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 50_000),
+		"a negative length":              strings.Replace(postRequest("bad", 1, "x"), "Length: 1", "Length: -1", 1),
 		"two lengths": strings.Replace(postRequest("two", 1, "x"), "\r\n\r\n",
 			"\r\nContent-Length: 2\r\n\r\n", 1),
 		"a chunk without end": strings.Replace(postRequest("chunk", 1, ""), "Content-Length: 1",
@@ -161,10 +161,10 @@
 		responses []*http1.Response
 		want      string
 	}{
-		"turned away":           {[]*http1.Response{rejected, rejected, rejected}, "503 refused"},
-		"broken off":            {[]*http1.Response{nettest.CloseConn}, "502 failed"},
-		"away, then broken off": {[]*http1.Response{rejected, nettest.CloseConn}, "502 failed"},
-		"away, then an error":   {[]*http1.Response{rejected, rejected, {Status: 500}}, "502 failed"},
+		"rejected by all servers":          {[]*http1.Response{rejected, rejected, rejected}, "503 refused"},
+		"connection closed":                {[]*http1.Response{nettest.CloseConn}, "502 failed"},
+		"rejected, then connection closed": {[]*http1.Response{rejected, nettest.CloseConn}, "502 failed"},
+		"rejected, then an error":          {[]*http1.Response{rejected, rejected, {Status: 500}}, "502 failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rig := newRig(t, nil)
--- a/internal/proxy/ingress/parse_test.go
+++ b/internal/proxy/ingress/parse_test.go
@@ -44,7 +44,7 @@
 		{"no tenant", "GET", "/", head("1", "lookup", "", "1"), dispatch.Request{}, 400},
 		{"no timeout", "GET", "/", head("1", "lookup", "acme", ""), dispatch.Request{}, 400},
 		{"a negative timeout", "GET", "/", head("1", "lookup", "acme", "-1"), dispatch.Request{}, 400},
-		{"a timeout that is no number", "GET", "/", head("1", "lookup", "acme", "NaN"), dispatch.Request{}, 400},
+		{"a timeout that is not a number", "GET", "/", head("1", "lookup", "acme", "NaN"), dispatch.Request{}, 400},
 		{"an infinite timeout", "GET", "/", head("1", "lookup", "acme", "Inf"), dispatch.Request{}, 400},
 	} {
 		message := &http1.Request{Method: test.method, Target: test.target, Header: test.header}
