--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 var (
-	goldenGrant = lease.Grant{Holder: "odori-1", Token: 12, Renewed: 13}
+	goldenGrant = lease.Grant{Holder: "odori-1", Token: 12, Renewals: 13}
 	goldenKey   = ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
 	goldenRow   = ledger.Row{Key: goldenKey, Usage: ledger.Usage{Count: 21, BytesIn: 22, BytesOut: 23},
 		Corrections: ledger.Usage{Count: -24, BytesIn: -25, BytesOut: -26}}
@@ -74,13 +74,13 @@
 	grants := map[string]lease.Grant{FleetRole: goldenGrant}
 	m.leases.Restore(grants)
 	goldenfile.CheckDecoded(t, "renew.bin", m.Apply(50, held("renew.bin")),
-		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 12, Renewed: 14}}))
+		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 12, Renewals: 14}}))
 	m.leases.Restore(grants)
 	goldenfile.CheckDecoded(t, "take.bin", m.Apply(51, held("take.bin")),
 		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 51}}))
 	m.leases.Restore(grants)
 	goldenfile.CheckDecoded(t, "release.bin", m.Apply(52, held("release.bin")),
-		any(lease.Result{Applied: true, Grant: lease.Grant{Token: 12, Renewed: 14}}))
+		any(lease.Result{Applied: true, Grant: lease.Grant{Token: 12, Renewals: 14}}))
 
 	own := func(token uint64) {
 		m.leases.Restore(map[string]lease.Grant{FleetRole: {Holder: "odori-1", Token: token}})
@@ -105,7 +105,7 @@
 		Key: goldenKey, Usage: ledger.Usage{Count: 2, BytesIn: 3, BytesOut: 4}}}}).Encode())
 	want.appliedIndex = 61
 	want.leases.Restore(map[string]lease.Grant{FleetRole: goldenGrant,
-		"another": {Holder: "susukino-2", Token: 14, Renewed: 15}})
+		"another": {Holder: "susukino-2", Token: 14, Renewals: 15}})
 	want.state = state{ExportStarted: true, Exported: 51, Open: &openExport{Period: 52, Token: 53,
 		Rows: []ledger.Row{goldenRow}},
 		Corrections: []PendingCorrection{goldenFix}, CorrectionSeq: 54, Endpoints: goldenList(55),
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -65,13 +65,13 @@
 // Grant says who owns a role, as committed in the log. The zero Grant is that of a role which nobody ever
 // owned.
 type Grant struct {
-	Holder  string `json:"holder"`  // name of the member; "" if nobody owns the role
-	Token   uint64 `json:"token"`   // fencing token: index of the log entry that granted it; only rises
-	Renewed uint64 `json:"renewed"` // number of renewals of this grant
+	Holder   string `json:"holder"`  // name of the member; "" if nobody owns the role
+	Token    uint64 `json:"token"`   // fencing token: index of the log entry that granted it; only rises
+	Renewals uint64 `json:"renewed"` // number of renewals of this grant
 }
 
 // olderThan reports whether g was replaced by other in the log. Grants are ordered by token, then by
 // renewals.
 func (g Grant) olderThan(other Grant) bool {
-	return g.Token < other.Token || g.Token == other.Token && g.Renewed < other.Renewed
+	return g.Token < other.Token || g.Token == other.Token && g.Renewals < other.Renewals
 }
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -46,10 +46,10 @@
 		"another takes over": {a1, Command{Op: Acquire, Member: "b", Expected: a1}, 9,
 			Grant{Holder: "b", Token: 9}, true},
 		"a renewal keeps the token": {a1, Command{Op: Renew, Member: "a", Expected: a1}, 7,
-			Grant{Holder: "a", Token: 5, Renewed: 1}, true},
+			Grant{Holder: "a", Token: 5, Renewals: 1}, true},
 		"a renewal by another": {a1, Command{Op: Renew, Member: "b", Expected: a1}, 7, a1, false},
 		"a release": {a1, Command{Op: Release, Member: "a", Expected: a1}, 7,
-			Grant{Token: 5, Renewed: 1}, true},
+			Grant{Token: 5, Renewals: 1}, true},
 		"a release by another": {a1, Command{Op: Release, Member: "b", Expected: a1}, 7, a1, false},
 		"no member":            {a1, Command{Op: Acquire, Expected: a1}, 7, a1, false},
 		"an unknown operation": {a1, Command{Op: 9, Member: "a", Expected: a1}, 7, a1, false},
@@ -116,7 +116,7 @@
 		t.Error("a lost renewal prolongs the lease")
 	}
 	cmd, _ = c.NextProposal(time.Second)
-	c.HandleResult(1500*time.Millisecond, Result{Applied: true, Grant: Grant{Holder: "a", Token: 5, Renewed: 1}})
+	c.HandleResult(1500*time.Millisecond, Result{Applied: true, Grant: Grant{Holder: "a", Token: 5, Renewals: 1}})
 	if got := c.Remaining(1500 * time.Millisecond); cmd.Op != Renew || got != 1500*time.Millisecond {
 		t.Errorf("%v remain after %+v", got, cmd)
 	}
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -73,9 +73,9 @@
 	case Acquire:
 		next = Grant{Holder: cmd.Member, Token: index}
 	case Renew:
-		next.Renewed++
+		next.Renewals++
 	case Release:
-		next = Grant{Token: current.Token, Renewed: current.Renewed + 1}
+		next = Grant{Token: current.Token, Renewals: current.Renewals + 1}
 	default:
 		return rejected
 	}
