--- a/internal/cluster/lease/fence.go
+++ b/internal/cluster/lease/fence.go
@@ -27,7 +27,7 @@
 // Fence is the state of a receiver of side effects, who calls Admit before each. Its zero value admits any
 // token. It is not safe for concurrent use.
 type Fence struct {
-	Highest uint64 // token admitted so far
+	HighestToken uint64 // token admitted so far
 }
 
 // Admit records the token of a side effect, or returns an error if the side effect must not happen: a token
@@ -36,9 +36,9 @@
 	if token == 0 {
 		return ErrNoToken
 	}
-	if token < f.Highest {
-		return fmt.Errorf("fencing token %d is older than %d, which was seen", token, f.Highest)
+	if token < f.HighestToken {
+		return fmt.Errorf("fencing token %d is older than %d, which was seen", token, f.HighestToken)
 	}
-	f.Highest = token
+	f.HighestToken = token
 	return nil
 }
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -228,7 +228,7 @@
 
 // receive has the receiver of side effects check a token.
 func (m *clusterModel) receive(e effect) {
-	highest := m.fence.Highest
+	highest := m.fence.HighestToken
 	if m.fence.Admit(e.token) != nil {
 		m.rejected++
 	} else if e.token < highest {
--- a/internal/testbed/proxystandin/discovery.go
+++ b/internal/testbed/proxystandin/discovery.go
@@ -139,7 +139,7 @@
 		d.ownerCalls.Malformed++
 		return tokenCheck{status: 400, problem: err.Error()}
 	}
-	before := d.fence.Highest
+	before := d.fence.HighestToken
 	if err := d.fence.Admit(token); err != nil {
 		d.ownerCalls.Stale++
 		return tokenCheck{status: 409, problem: err.Error()}
@@ -161,7 +161,7 @@
 func (d *Discovery) superseded(token uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if token == 0 || token >= d.fence.Highest {
+	if token == 0 || token >= d.fence.HighestToken {
 		return false
 	}
 	d.ownerCalls.EndedWatches++
