--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -32,8 +32,8 @@
 	Period uint64
 }
 
-// CorrectionsSent says that the sink has acknowledged the pending corrections up to one.
-type CorrectionsSent struct {
+// CorrectionsExported says that the sink has acknowledged the pending corrections up to one.
+type CorrectionsExported struct {
 	Member string
 	Token  uint64
 	UpTo   uint64 // PendingCorrection.Seq
@@ -57,7 +57,7 @@
 func (c *ExportDone) Encode() []byte { return logcodec.EncodeCommand(kindExportDone, c) }
 
 // Encode encodes the command for the log.
-func (c *CorrectionsSent) Encode() []byte { return logcodec.EncodeCommand(kindCorrectionsSent, c) }
+func (c *CorrectionsExported) Encode() []byte { return logcodec.EncodeCommand(kindCorrectionsSent, c) }
 
 // Encode encodes the command for the log.
 func (c *EndpointList) Encode() []byte { return logcodec.EncodeCommand(kindEndpointList, c) }
--- a/internal/cluster/groupstate/export.go
+++ b/internal/cluster/groupstate/export.go
@@ -112,7 +112,7 @@
 }
 
 // applyCorrectionsSent drops the pending corrections that the sink has.
-func (m *Machine) applyCorrectionsSent(cmd *CorrectionsSent) Result {
+func (m *Machine) applyCorrectionsSent(cmd *CorrectionsExported) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
 	}
--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -52,9 +52,9 @@
 	check("a second intent", l.status(intent("b", b, 2)), StatusRejected)
 	check("the next owner is done", l.status(done("b", b, 1)), StatusAccepted)
 	check("and again", l.status(done("b", b, 1)), StatusAccepted)
-	check("corrections that are not", l.status((&CorrectionsSent{"b", b, 2}).Encode()), StatusRejected)
-	check("corrections by the old owner", l.status((&CorrectionsSent{"a", a, 1}).Encode()), StatusStale)
-	check("corrections", l.status((&CorrectionsSent{"b", b, 1}).Encode()), StatusAccepted)
+	check("corrections that are not", l.status((&CorrectionsExported{"b", b, 2}).Encode()), StatusRejected)
+	check("corrections by the old owner", l.status((&CorrectionsExported{"a", a, 1}).Encode()), StatusStale)
+	check("corrections", l.status((&CorrectionsExported{"b", b, 1}).Encode()), StatusAccepted)
 	if s := l.pendingExport(); s.Due != 2 || len(s.Corrections) != 0 {
 		t.Errorf("%+v", s)
 	}
