--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -34,9 +34,9 @@
 
 // CorrectionsExported says that the sink has acknowledged the pending corrections up to one.
 type CorrectionsExported struct {
-	Member string
-	Token  uint64
-	UpTo   uint64 // PendingCorrection.Seq
+	Member  string
+	Token   uint64
+	UpToSeq uint64 // PendingCorrection.Seq
 }
 
 // EndpointList publishes the list of zone servers. An empty Raw confirms the list published before.
--- a/internal/cluster/groupstate/export.go
+++ b/internal/cluster/groupstate/export.go
@@ -116,10 +116,10 @@
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
 	}
-	if cmd.UpTo > m.state.CorrectionSeq {
-		return m.reject("there is no correction %d", cmd.UpTo)
+	if cmd.UpToSeq > m.state.CorrectionSeq {
+		return m.reject("there is no correction %d", cmd.UpToSeq)
 	}
-	for len(m.state.Corrections) > 0 && m.state.Corrections[0].Seq <= cmd.UpTo {
+	for len(m.state.Corrections) > 0 && m.state.Corrections[0].Seq <= cmd.UpToSeq {
 		m.state.Corrections = m.state.Corrections[1:]
 		m.state.Stats.Corrections++
 	}
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -43,7 +43,7 @@
 	goldenEntry(t, "intent.bin", intent, intent.Encode())
 	done := ExportDone{Member: "odori-1", Token: 301, Period: 70_001}
 	goldenEntry(t, "done.bin", done, done.Encode())
-	settled := CorrectionsExported{Member: "odori-1", Token: 302, UpTo: 70_002}
+	settled := CorrectionsExported{Member: "odori-1", Token: 302, UpToSeq: 70_002}
 	goldenEntry(t, "settled.bin", settled, settled.Encode())
 	list := EndpointList{Member: "odori-1", Token: 303, Index: 70_003, Raw: []byte(`{"index":70003}`)}
 	goldenEntry(t, "list.bin", list, list.Encode())
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -147,7 +147,7 @@
 		return false, fmt.Errorf("corrections: %w", err)
 	}
 	upTo := corrections[len(corrections)-1].Seq
-	exported := groupstate.CorrectionsExported{Member: e.runner.opts.Name, Token: token, UpTo: upTo}
+	exported := groupstate.CorrectionsExported{Member: e.runner.opts.Name, Token: token, UpToSeq: upTo}
 	return true, e.runner.commit(token, exported.Encode())
 }
 
