--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -39,8 +39,8 @@
 	UpToSeq uint64 // PendingCorrection.Seq
 }
 
-// EndpointList publishes the list of zone servers. An empty Raw confirms the list published before.
-type EndpointList struct {
+// PublishEndpointList publishes the list of zone servers. An empty Raw confirms the list published before.
+type PublishEndpointList struct {
 	Member string
 	Token  uint64
 	Index  int64  // discovery's number of the list
@@ -60,4 +60,4 @@
 func (c *CorrectionsExported) Encode() []byte { return logcodec.EncodeCommand(kindCorrectionsSent, c) }
 
 // Encode encodes the command for the log.
-func (c *EndpointList) Encode() []byte { return logcodec.EncodeCommand(kindEndpointList, c) }
+func (c *PublishEndpointList) Encode() []byte { return logcodec.EncodeCommand(kindEndpointList, c) }
--- a/internal/cluster/groupstate/endpoints.go
+++ b/internal/cluster/groupstate/endpoints.go
@@ -14,7 +14,7 @@
 }
 
 // applyEndpointList publishes a list, or confirms the one that the same owner published under the same index.
-func (m *Machine) applyEndpointList(cmd *EndpointList) Result {
+func (m *Machine) applyEndpointList(cmd *PublishEndpointList) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
 	}
--- a/internal/cluster/groupstate/machine_test.go
+++ b/internal/cluster/groupstate/machine_test.go
@@ -91,7 +91,7 @@
 			case 5:
 				data = (&ExportDone{member, token, max(period, uninterrupted.lastSealed())}).Encode()
 			case 6:
-				data = (&EndpointList{member, token, int64(period), []byte("{}")}).Encode()
+				data = (&PublishEndpointList{member, token, int64(period), []byte("{}")}).Encode()
 			case 7:
 				data = (&ledger.Correction{ID: string(rune('a' + period)), Period: period, Key: ledger.Key{Tenant: "t"},
 					Usage: ledger.Usage{Count: 1}}).Encode()
