--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -35,7 +35,7 @@
 // View is what operators see of the state beside the ledger.
 type View struct {
 	Grant              lease.Grant  `json:"grant"`
-	Exported           uint64       `json:"exported"` // the last period that the sink has acknowledged in full
+	LastExported       uint64       `json:"exported"` // the last period that the sink has acknowledged in full
 	Sending            uint64       `json:"sending"`  // the period of the open intent, 0 for none
 	IntentToken        uint64       `json:"intent_token"`
 	Final              uint64       `json:"final"`   // the newest period that may be exported
@@ -110,7 +110,7 @@
 func (m *Machine) View() View {
 	view := View{
 		Grant:              m.grant(),
-		Exported:           m.state.Exported,
+		LastExported:       m.state.Exported,
 		Final:              m.Ledger.FinalPeriod(),
 		Open:               m.Ledger.OpenPeriod(),
 		PendingCorrections: len(m.state.Corrections),
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -56,7 +56,7 @@
 }
 
 func exported(s *memoryStore, period uint64) error {
-	if v := s.view(); v.Exported < period {
+	if v := s.view(); v.LastExported < period {
 		return fmt.Errorf("%+v", v)
 	}
 	return nil
--- a/internal/testbed/clusterrig/export.go
+++ b/internal/testbed/clusterrig/export.go
@@ -104,7 +104,7 @@
 			err = m.GetJSON("/_ledger", &page)
 		}
 		if err == nil && page.Ledger != nil {
-			return &ledgerSnapshot{exported: owner.Store.Exported, usage: page.Ledger}, nil
+			return &ledgerSnapshot{exported: owner.Store.LastExported, usage: page.Ledger}, nil
 		}
 		time.Sleep(ledgerReadInterval)
 	}
