--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -36,7 +36,7 @@
 type View struct {
 	Grant              lease.Grant  `json:"grant"`
 	LastExported       uint64       `json:"exported"` // the last period that the sink has acknowledged in full
-	Sending            uint64       `json:"sending"`  // the period of the open intent, 0 for none
+	IntentPeriod       uint64       `json:"sending"`  // the period of the open intent, 0 for none
 	IntentToken        uint64       `json:"intent_token"`
 	Final              uint64       `json:"final"`   // the newest period that may be exported
 	Open               uint64       `json:"open"`    // the open period of the ledger
@@ -118,7 +118,7 @@
 		Stats:              m.state.Stats,
 	}
 	if open := m.state.Open; open != nil {
-		view.Sending, view.IntentToken = open.Period, open.Token
+		view.IntentPeriod, view.IntentToken = open.Period, open.Token
 	}
 	if first := m.nextUnexported(); view.Final >= first {
 		view.Backlog = int(view.Final - first + 1)
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -31,7 +31,7 @@
 	s.apply((&ledger.Correction{ID: "late", Period: 2, Key: ledger.Key{Tenant: "ramen-kita",
 		Class: "zone-lookup", Answer: "passed"}, Usage: ledger.Usage{Count: -1}, Reason: "asked for"}).Encode())
 	a.Close()
-	if v := s.view(); v.Grant.Holder != "" || v.Sending != 2 {
+	if v := s.view(); v.Grant.Holder != "" || v.IntentPeriod != 2 {
 		t.Fatalf("after its end %+v", v)
 	}
 	sink.SetFault(proxystandin.SinkFault{})
