--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -38,7 +38,7 @@
 	LastExported       uint64       `json:"exported"` // the last period that the sink has acknowledged in full
 	IntentPeriod       uint64       `json:"sending"`  // the period of the open intent, 0 for none
 	IntentToken        uint64       `json:"intent_token"`
-	Final              uint64       `json:"final"`   // the newest period that may be exported
+	FinalPeriod        uint64       `json:"final"`   // the newest period that may be exported
 	Open               uint64       `json:"open"`    // the open period of the ledger
 	Backlog            int          `json:"backlog"` // periods that may be exported and are not
 	PendingCorrections int          `json:"corrections_waiting"`
@@ -111,7 +111,7 @@
 	view := View{
 		Grant:              m.grant(),
 		LastExported:       m.state.Exported,
-		Final:              m.Ledger.FinalPeriod(),
+		FinalPeriod:        m.Ledger.FinalPeriod(),
 		Open:               m.Ledger.OpenPeriod(),
 		PendingCorrections: len(m.state.Corrections),
 		Endpoints:          m.endpointView(),
@@ -120,8 +120,8 @@
 	if open := m.state.Open; open != nil {
 		view.IntentPeriod, view.IntentToken = open.Period, open.Token
 	}
-	if first := m.nextUnexported(); view.Final >= first {
-		view.Backlog = int(view.Final - first + 1)
+	if first := m.nextUnexported(); view.FinalPeriod >= first {
+		view.Backlog = int(view.FinalPeriod - first + 1)
 	}
 	return view
 }
