--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -144,7 +144,7 @@
 	list := EndpointView{Version: 71, Changed: 72, Token: 73, Index: 74, Raw: []byte(`{"index":74}`)}
 	goldenfile.CheckJSON(t, "list.json", list)
 	goldenfile.CheckJSON(t, "view.json", View{Grant: goldenGrant, LastExported: 81, IntentPeriod: 82, IntentToken: 83,
-		FinalPeriod: 84, Open: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenFigures})
+		FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenFigures})
 	goldenfile.CheckJSON(t, "statement.json", PendingExport{Grant: goldenGrant, Due: 91, Period: 92,
 		IntentToken: 93, Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenFix}})
 }
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -39,7 +39,7 @@
 	IntentPeriod       uint64       `json:"sending"`  // the period of the open intent, 0 for none
 	IntentToken        uint64       `json:"intent_token"`
 	FinalPeriod        uint64       `json:"final"`   // the newest period that may be exported
-	Open               uint64       `json:"open"`    // the open period of the ledger
+	OpenPeriod         uint64       `json:"open"`    // the open period of the ledger
 	Backlog            int          `json:"backlog"` // periods that may be exported and are not
 	PendingCorrections int          `json:"corrections_waiting"`
 	Endpoints          EndpointView `json:"list"`
@@ -112,7 +112,7 @@
 		Grant:              m.grant(),
 		LastExported:       m.state.Exported,
 		FinalPeriod:        m.Ledger.FinalPeriod(),
-		Open:               m.Ledger.OpenPeriod(),
+		OpenPeriod:         m.Ledger.OpenPeriod(),
 		PendingCorrections: len(m.state.Corrections),
 		Endpoints:          m.endpointView(),
 		Stats:              m.state.Stats,
--- a/internal/cluster/leaseholder/golden_test.go
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -19,7 +19,7 @@
 			Failed: 18, Entries: 19, Duplicates: 20, Resumed: 21},
 		Endpoints: &EndpointStatus{FromOwner: true, AgeMS: 31, Version: 32},
 		Store: &groupstate.View{Grant: lease.Grant{Holder: "odori-1", Token: 41, Renewals: 42}, LastExported: 43,
-			IntentPeriod: 44, IntentToken: 45, FinalPeriod: 46, Open: 47, Backlog: 48, PendingCorrections: 49,
+			IntentPeriod: 44, IntentToken: 45, FinalPeriod: 46, OpenPeriod: 47, Backlog: 48, PendingCorrections: 49,
 			Endpoints: groupstate.EndpointView{Version: 51, Changed: 52, Token: 53, Index: 54,
 				Raw: []byte(`{"index":54}`)},
 			Stats: groupstate.Stats{Grants: 61, Stale: 62, Rejected: 63, Periods: 64, Unsent: 65, Corrections: 66,
