--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -17,7 +17,7 @@
 	done := func(member string, token, period uint64) []byte {
 		return (&ExportDone{Member: member, Token: token, Period: period}).Encode()
 	}
-	if s := l.pendingExport(); s.Due != 1 || s.Period != 0 {
+	if s := l.pendingExport(); s.DuePeriod != 1 || s.Period != 0 {
 		t.Fatalf("%+v", s)
 	}
 	check := func(what string, got, want string) {
@@ -55,7 +55,7 @@
 	check("corrections that are not", l.status((&CorrectionsExported{"b", b, 2}).Encode()), StatusRejected)
 	check("corrections by the old owner", l.status((&CorrectionsExported{"a", a, 1}).Encode()), StatusStale)
 	check("corrections", l.status((&CorrectionsExported{"b", b, 1}).Encode()), StatusAccepted)
-	if s := l.pendingExport(); s.Due != 2 || len(s.Corrections) != 0 {
+	if s := l.pendingExport(); s.DuePeriod != 2 || len(s.Corrections) != 0 {
 		t.Errorf("%+v", s)
 	}
 	check("garbage", l.status([]byte{'I', 0xc1}), StatusRejected)
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -58,7 +58,7 @@
 // PendingExport is what the owner has to export next.
 type PendingExport struct {
 	Grant       lease.Grant         `json:"grant"`
-	Due         uint64              `json:"due"`    // the next period that needs an intent, 0 for none
+	DuePeriod   uint64              `json:"due"`    // the next period that needs an intent, 0 for none
 	Period      uint64              `json:"period"` // of the open intent, 0 for none
 	IntentToken uint64              `json:"token"`  // of the open intent
 	Rows        []ledger.Row        `json:"rows"`   // of the open intent
@@ -101,7 +101,7 @@
 	if open := m.state.Open; open != nil {
 		next.Period, next.IntentToken, next.Rows = open.Period, open.Token, open.Rows
 	} else {
-		next.Due = m.nextDue()
+		next.DuePeriod = m.nextDue()
 	}
 	return next
 }
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -122,8 +122,8 @@
 	switch {
 	case next.Period > 0:
 		return e.exportPeriod(token, &next)
-	case next.Due > 0:
-		intent := groupstate.ExportIntent{Member: self, Token: token, Period: next.Due}
+	case next.DuePeriod > 0:
+		intent := groupstate.ExportIntent{Member: self, Token: token, Period: next.DuePeriod}
 		return true, e.runner.commit(token, intent.Encode())
 	case len(next.Corrections) > 0:
 		return e.exportCorrections(token, next.Corrections)
