--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -17,7 +17,7 @@
 	done := func(member string, token, period uint64) []byte {
 		return (&ExportDone{Member: member, Token: token, Period: period}).Encode()
 	}
-	if s := l.pendingExport(); s.DuePeriod != 1 || s.Period != 0 {
+	if s := l.pendingExport(); s.DuePeriod != 1 || s.IntentPeriod != 0 {
 		t.Fatalf("%+v", s)
 	}
 	check := func(what string, got, want string) {
@@ -44,7 +44,7 @@
 	l.apply(fix.Encode()) // the same id counts once
 	b := l.acquire("b")
 	check("the old owner is done", l.status(done("a", a, 1)), StatusStale)
-	if s := l.pendingExport(); s.Period != 1 || s.IntentToken != a || len(s.Rows) != 1 || s.Rows[0].Count != 5 ||
+	if s := l.pendingExport(); s.IntentPeriod != 1 || s.IntentToken != a || len(s.Rows) != 1 || s.Rows[0].Count != 5 ||
 		s.Rows[0].Corrections.Count != 0 || len(s.Corrections) != 1 {
 		t.Errorf("what the next owner sends is %+v", s)
 	}
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -145,6 +145,6 @@
 	goldenfile.CheckJSON(t, "list.json", list)
 	goldenfile.CheckJSON(t, "view.json", View{Grant: goldenGrant, LastExported: 81, IntentPeriod: 82, IntentToken: 83,
 		FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenFigures})
-	goldenfile.CheckJSON(t, "statement.json", PendingExport{Grant: goldenGrant, DuePeriod: 91, Period: 92,
+	goldenfile.CheckJSON(t, "statement.json", PendingExport{Grant: goldenGrant, DuePeriod: 91, IntentPeriod: 92,
 		IntentToken: 93, Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenFix}})
 }
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -57,12 +57,12 @@
 
 // PendingExport is what the owner has to export next.
 type PendingExport struct {
-	Grant       lease.Grant         `json:"grant"`
-	DuePeriod   uint64              `json:"due"`    // the next period that needs an intent, 0 for none
-	Period      uint64              `json:"period"` // of the open intent, 0 for none
-	IntentToken uint64              `json:"token"`  // of the open intent
-	Rows        []ledger.Row        `json:"rows"`   // of the open intent
-	Corrections []PendingCorrection `json:"fixes"`
+	Grant        lease.Grant         `json:"grant"`
+	DuePeriod    uint64              `json:"due"`    // the next period that needs an intent, 0 for none
+	IntentPeriod uint64              `json:"period"` // of the open intent, 0 for none
+	IntentToken  uint64              `json:"token"`  // of the open intent
+	Rows         []ledger.Row        `json:"rows"`   // of the open intent
+	Corrections  []PendingCorrection `json:"fixes"`
 }
 
 // maxCorrectionsPerExport bounds the corrections in a PendingExport.
@@ -99,7 +99,7 @@
 	corrections := m.state.Corrections[:min(len(m.state.Corrections), maxCorrectionsPerExport)]
 	next := PendingExport{Grant: m.grant(), Corrections: corrections}
 	if open := m.state.Open; open != nil {
-		next.Period, next.IntentToken, next.Rows = open.Period, open.Token, open.Rows
+		next.IntentPeriod, next.IntentToken, next.Rows = open.Period, open.Token, open.Rows
 	} else {
 		next.DuePeriod = m.nextDue()
 	}
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -120,7 +120,7 @@
 		return false, ErrNotOwner
 	}
 	switch {
-	case next.Period > 0:
+	case next.IntentPeriod > 0:
 		return e.exportPeriod(token, &next)
 	case next.DuePeriod > 0:
 		intent := groupstate.ExportIntent{Member: self, Token: token, Period: next.DuePeriod}
@@ -134,9 +134,9 @@
 // exportPeriod sends the period of the open intent and records that the sink has it.
 func (e *Exporter) exportPeriod(token uint64, next *groupstate.PendingExport) (more bool, err error) {
 	if err := e.sendPeriod(token, next); err != nil {
-		return false, fmt.Errorf("period %d: %w", next.Period, err)
+		return false, fmt.Errorf("period %d: %w", next.IntentPeriod, err)
 	}
-	done := groupstate.ExportDone{Member: e.runner.opts.Name, Token: token, Period: next.Period}
+	done := groupstate.ExportDone{Member: e.runner.opts.Name, Token: token, Period: next.IntentPeriod}
 	return true, e.runner.commit(token, done.Encode())
 }
 
@@ -167,10 +167,10 @@
 func (e *Exporter) sendPeriod(token uint64, next *groupstate.PendingExport) error {
 	if next.IntentToken != token {
 		e.runner.updateStats(func(s *Stats) { s.Resumed++ })
-		e.runner.opts.Log.Info("owner: resuming the export of an earlier owner", "period", next.Period,
+		e.runner.opts.Log.Info("owner: resuming the export of an earlier owner", "period", next.IntentPeriod,
 			"intent", next.IntentToken, "token", token)
 	}
-	return e.sendAll(token, PeriodEntries(next.Period, next.Rows))
+	return e.sendAll(token, PeriodEntries(next.IntentPeriod, next.Rows))
 }
 
 func (e *Exporter) sendAll(token uint64, entries []Entry) error {
