--- a/internal/cluster/groupstate/export.go
+++ b/internal/cluster/groupstate/export.go
@@ -33,7 +33,7 @@
 	}
 	sending := m.state.Open != nil && m.state.Open.Period == period
 	if m.Ledger.OpenPeriod()-period > maxUnexportedPeriods && !sending {
-		m.state.Stats.Unsent++
+		m.state.Stats.DroppedPeriods++
 		return true
 	}
 	return false
