--- a/internal/cluster/groupstate/export.go
+++ b/internal/cluster/groupstate/export.go
@@ -93,7 +93,7 @@
 		return m.reject("period %d is not being sent", cmd.Period)
 	}
 	m.state.Exported, m.state.Open = cmd.Period, nil
-	m.state.Stats.Periods++
+	m.state.Stats.ExportedPeriods++
 	return accepted
 }
 
