--- a/internal/cluster/groupstate/export.go
+++ b/internal/cluster/groupstate/export.go
@@ -121,7 +121,7 @@
 	}
 	for len(m.state.Corrections) > 0 && m.state.Corrections[0].Seq <= cmd.UpToSeq {
 		m.state.Corrections = m.state.Corrections[1:]
-		m.state.Stats.Corrections++
+		m.state.Stats.ExportedCorrections++
 	}
 	return accepted
 }
--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -60,7 +60,7 @@
 	}
 	check("garbage", l.status([]byte{'I', 0xc1}), StatusRejected)
 	v := l.machine.View()
-	if v.LastExported != 1 || v.Backlog != 1 || v.Stats.ExportedPeriods != 1 || v.Stats.Corrections != 1 ||
+	if v.LastExported != 1 || v.Backlog != 1 || v.Stats.ExportedPeriods != 1 || v.Stats.ExportedCorrections != 1 ||
 		v.Stats.Stale != 5 || v.Stats.Rejected != 7 || v.Stats.Grants != 2 {
 		t.Errorf("%+v", v)
 	}
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -17,7 +17,7 @@
 		Corrections: ledger.Usage{Count: -24, BytesIn: -25, BytesOut: -26}}
 	goldenFix = PendingCorrection{Seq: 31, Correction: ledger.Correction{ID: "fix-1", Period: 32, Key: goldenKey,
 		Usage: ledger.Usage{Count: -33, BytesIn: -34, BytesOut: -35}, Reason: "counted twice"}}
-	goldenFigures = Stats{Grants: 41, Stale: 42, Rejected: 43, ExportedPeriods: 44, DroppedPeriods: 45, Corrections: 46,
+	goldenFigures = Stats{Grants: 41, Stale: 42, Rejected: 43, ExportedPeriods: 44, DroppedPeriods: 45, ExportedCorrections: 46,
 		EndpointLists: 47}
 )
 
--- a/internal/cluster/groupstate/machine.go
+++ b/internal/cluster/groupstate/machine.go
@@ -43,13 +43,13 @@
 
 // Stats count what was applied.
 type Stats struct {
-	Grants          int64 `json:"grants"`  // leases acquired
-	Stale           int64 `json:"stale"`   // commands rejected because of their token
-	Rejected        int64 `json:"refused"` // commands rejected otherwise
-	ExportedPeriods int64 `json:"periods"` // periods exported
-	DroppedPeriods  int64 `json:"unsent"`  // periods dropped before they were exported
-	Corrections     int64 `json:"fixes"`   // corrections exported
-	EndpointLists   int64 `json:"lists"`   // endpoint lists published or confirmed
+	Grants              int64 `json:"grants"`  // leases acquired
+	Stale               int64 `json:"stale"`   // commands rejected because of their token
+	Rejected            int64 `json:"refused"` // commands rejected otherwise
+	ExportedPeriods     int64 `json:"periods"` // periods exported
+	DroppedPeriods      int64 `json:"unsent"`  // periods dropped before they were exported
+	ExportedCorrections int64 `json:"fixes"`   // corrections exported
+	EndpointLists       int64 `json:"lists"`   // endpoint lists published or confirmed
 }
 
 // Machine is the state machine of a group. Use New.
