--- a/internal/cluster/leaseholder/calls.go
+++ b/internal/cluster/leaseholder/calls.go
@@ -69,7 +69,7 @@
 	case groupstate.StatusAccepted:
 		return nil
 	case groupstate.StatusStale:
-		r.updateStats(func(s *Stats) { s.StaleEntries++ })
+		r.updateStats(func(s *Stats) { s.StaleCommands++ })
 		r.stepDown(token, result.Reason)
 		return errStaleToken
 	}
--- a/internal/cluster/leaseholder/runner.go
+++ b/internal/cluster/leaseholder/runner.go
@@ -61,17 +61,17 @@
 
 // Stats count what this member did as the lease holder since its start.
 type Stats struct {
-	Grants       int64 `json:"grants"`   // leases acquired
-	Renewals     int64 `json:"renewals"` // renewals granted
-	Losses       int64 `json:"losses"`   // leases that ended without being released
-	Resigned     int64 `json:"given_up"` // leases released
-	Calls        int64 `json:"calls"`    // calls to the sink, and those that discovery rejected
-	Rejected     int64 `json:"refused"`  // calls rejected because of their token
-	StaleEntries int64 `json:"stale"`    // commands that the log rejected because of their token
-	Failed       int64 `json:"failed"`   // calls that failed otherwise
-	Entries      int64 `json:"entries"`  // entries that the sink acknowledged, duplicates included
-	Duplicates   int64 `json:"repeated"` // entries that the sink had already
-	Resumed      int64 `json:"resumed"`  // exports begun by earlier owners that this one finished
+	Grants        int64 `json:"grants"`   // leases acquired
+	Renewals      int64 `json:"renewals"` // renewals granted
+	Losses        int64 `json:"losses"`   // leases that ended without being released
+	Resigned      int64 `json:"given_up"` // leases released
+	Calls         int64 `json:"calls"`    // calls to the sink, and those that discovery rejected
+	Rejected      int64 `json:"refused"`  // calls rejected because of their token
+	StaleCommands int64 `json:"stale"`    // commands that the log rejected because of their token
+	Failed        int64 `json:"failed"`   // calls that failed otherwise
+	Entries       int64 `json:"entries"`  // entries that the sink acknowledged, duplicates included
+	Duplicates    int64 `json:"repeated"` // entries that the sink had already
+	Resumed       int64 `json:"resumed"`  // exports begun by earlier owners that this one finished
 }
 
 // ErrNotOwner is returned if this member doesn't hold the lease, or no longer under the token in question.
