--- a/internal/cluster/leaseholder/calls.go
+++ b/internal/cluster/leaseholder/calls.go
@@ -27,7 +27,7 @@
 		s.Calls++
 		switch {
 		case errors.Is(err, errStaleToken):
-			s.Rejected++
+			s.RejectedCalls++
 		case err != nil:
 			s.Failed++
 		}
@@ -42,7 +42,7 @@
 func (r *Runner) ReportRejection(token uint64, reason string) {
 	r.updateStats(func(s *Stats) {
 		s.Calls++
-		s.Rejected++
+		s.RejectedCalls++
 	})
 	r.stepDown(token, reason)
 }
--- a/internal/cluster/leaseholder/runner.go
+++ b/internal/cluster/leaseholder/runner.go
@@ -66,7 +66,7 @@
 	Losses        int64 `json:"losses"`   // leases that ended without being released
 	Resigned      int64 `json:"given_up"` // leases released
 	Calls         int64 `json:"calls"`    // calls to the sink, and those that discovery rejected
-	Rejected      int64 `json:"refused"`  // calls rejected because of their token
+	RejectedCalls int64 `json:"refused"`  // calls rejected because of their token
 	StaleCommands int64 `json:"stale"`    // commands that the log rejected because of their token
 	Failed        int64 `json:"failed"`   // calls that failed otherwise
 	Entries       int64 `json:"entries"`  // entries that the sink acknowledged, duplicates included
--- a/internal/testbed/clusterrig/owner_test.go
+++ b/internal/testbed/clusterrig/owner_test.go
@@ -379,7 +379,7 @@
 		if err != nil || len(p.Roles) == 0 {
 			continue
 		}
-		refused += p.Stats.Rejected
+		refused += p.Stats.RejectedCalls
 		if p.Owns {
 			problem = p.Roles[0].Problem
 		}
