--- a/internal/cluster/leaseholder/calls.go
+++ b/internal/cluster/leaseholder/calls.go
@@ -29,7 +29,7 @@
 		case errors.Is(err, errStaleToken):
 			s.RejectedCalls++
 		case err != nil:
-			s.Failed++
+			s.FailedCalls++
 		}
 	})
 	if errors.Is(err, errStaleToken) {
--- a/internal/cluster/leaseholder/golden_test.go
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -16,7 +16,7 @@
 		LeaseRemaining: 2,
 		Roles:          []RoleStatus{{Role: "export", LastRun: 3, Backlog: 4, Problem: "the sink answered 500"}},
 		Stats: Stats{Grants: 11, Renewals: 12, Losses: 13, Resigned: 14, Calls: 15, RejectedCalls: 16, StaleCommands: 17,
-			Failed: 18, Entries: 19, Duplicates: 20, Resumed: 21},
+			FailedCalls: 18, Entries: 19, Duplicates: 20, Resumed: 21},
 		Endpoints: &EndpointStatus{FromOwner: true, AgeMS: 31, Version: 32},
 		Store: &groupstate.View{Grant: lease.Grant{Holder: "odori-1", Token: 41, Renewals: 42}, LastExported: 43,
 			IntentPeriod: 44, IntentToken: 45, FinalPeriod: 46, OpenPeriod: 47, Backlog: 48, PendingCorrections: 49,
--- a/internal/cluster/leaseholder/runner.go
+++ b/internal/cluster/leaseholder/runner.go
@@ -68,7 +68,7 @@
 	Calls         int64 `json:"calls"`    // calls to the sink, and those that discovery rejected
 	RejectedCalls int64 `json:"refused"`  // calls rejected because of their token
 	StaleCommands int64 `json:"stale"`    // commands that the log rejected because of their token
-	Failed        int64 `json:"failed"`   // calls that failed otherwise
+	FailedCalls   int64 `json:"failed"`   // calls that failed otherwise
 	Entries       int64 `json:"entries"`  // entries that the sink acknowledged, duplicates included
 	Duplicates    int64 `json:"repeated"` // entries that the sink had already
 	Resumed       int64 `json:"resumed"`  // exports begun by earlier owners that this one finished
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -73,7 +73,7 @@
 	f := &p.Stats
 	w.println("\nLEASES HERE\tLOST\tGIVEN BACK\tCALLS\tREFUSED\tFAILED\tENTRIES\tREPEATED\tRESUMED")
 	w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", f.Grants, f.Losses, f.Resigned, f.Calls, f.RejectedCalls,
-		f.Failed, f.Entries, f.Duplicates, f.Resumed)
+		f.FailedCalls, f.Entries, f.Duplicates, f.Resumed)
 	if err := w.flush(); err != nil {
 		return err
 	}
--- a/internal/testbed/clusterrig/ownerfaults.go
+++ b/internal/testbed/clusterrig/ownerfaults.go
@@ -151,7 +151,7 @@
 func failedCalls(m *Member) (int64, error) {
 	var p leaseholder.Page
 	err := m.GetJSON("/_owner", &p)
-	return p.Stats.Failed, err
+	return p.Stats.FailedCalls, err
 }
 
 // isolate pauses a member, or partitions it from all others.
