--- a/internal/cluster/leaseholder/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -12,7 +12,7 @@
 	Holder         string           `json:"holder"`             // as known here; "" if nobody holds the lease
 	Token          uint64           `json:"token"`              // of the lease
 	Owns           bool             `json:"here"`               // this member holds the lease
-	OwnedFor       int64            `json:"owned_ms,omitempty"` // for how long this member has held the lease
+	OwnedForMS     int64            `json:"owned_ms,omitempty"` // for how long this member has held the lease
 	LeaseRemaining int64            `json:"lease_left_ms"`
 	Roles          []RoleStatus     `json:"roles"`
 	Stats          Stats            `json:"figures"`
@@ -59,7 +59,7 @@
 	grant := r.candidate.Grant()
 	page.Owns = r.candidate.Owns(now)
 	if page.Owns && r.activeToken == r.candidate.Token() {
-		page.OwnedFor = (now - r.acquiredAt).Milliseconds()
+		page.OwnedForMS = (now - r.acquiredAt).Milliseconds()
 	}
 	page.LeaseRemaining = r.candidate.Remaining(now).Milliseconds()
 	page.Stats = r.stats
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -45,7 +45,7 @@
 		holder = "(nobody)"
 	}
 	if p.Owns {
-		owned = fmt.Sprintf("%d ms", p.OwnedFor)
+		owned = fmt.Sprintf("%d ms", p.OwnedForMS)
 		left = fmt.Sprintf("%d ms", p.LeaseRemaining)
 	}
 	w.println("OWNER\tTOKEN\tHERE\tOWNED FOR\tLEASE LEFT")
--- a/internal/testbed/clusterrig/owner.go
+++ b/internal/testbed/clusterrig/owner.go
@@ -75,7 +75,7 @@
 			return // what is known already holds
 		}
 		// The page was made after asked, and what it says is rounded down.
-		earliest := asked.Add(-time.Duration(page.OwnedFor+1) * time.Millisecond)
+		earliest := asked.Add(-time.Duration(page.OwnedForMS+1) * time.Millisecond)
 		if earliest.After(o.Acquired) {
 			o.Acquired = earliest
 		}
