--- a/internal/cluster/leaseholder/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -8,17 +8,17 @@
 
 // Page is what /_owner shows. Its JSON names are those of the operators' page.
 type Page struct {
-	Self           string           `json:"self"`
-	Holder         string           `json:"holder"`             // as known here; "" if nobody holds the lease
-	Token          uint64           `json:"token"`              // of the lease
-	Owns           bool             `json:"here"`               // this member holds the lease
-	OwnedForMS     int64            `json:"owned_ms,omitempty"` // for how long this member has held the lease
-	LeaseRemaining int64            `json:"lease_left_ms"`
-	Roles          []RoleStatus     `json:"roles"`
-	Stats          Stats            `json:"figures"`
-	Endpoints      *EndpointStatus  `json:"list,omitempty"`
-	Store          *groupstate.View `json:"store,omitempty"`
-	Problem        string           `json:"problem,omitempty"` // why Store could not be read
+	Self             string           `json:"self"`
+	Holder           string           `json:"holder"`             // as known here; "" if nobody holds the lease
+	Token            uint64           `json:"token"`              // of the lease
+	Owns             bool             `json:"here"`               // this member holds the lease
+	OwnedForMS       int64            `json:"owned_ms,omitempty"` // for how long this member has held the lease
+	LeaseRemainingMS int64            `json:"lease_left_ms"`
+	Roles            []RoleStatus     `json:"roles"`
+	Stats            Stats            `json:"figures"`
+	Endpoints        *EndpointStatus  `json:"list,omitempty"`
+	Store            *groupstate.View `json:"store,omitempty"`
+	Problem          string           `json:"problem,omitempty"` // why Store could not be read
 }
 
 // RoleStatus is the state of one role, as its owner sees it.
@@ -61,7 +61,7 @@
 	if page.Owns && r.activeToken == r.candidate.Token() {
 		page.OwnedForMS = (now - r.acquiredAt).Milliseconds()
 	}
-	page.LeaseRemaining = r.candidate.Remaining(now).Milliseconds()
+	page.LeaseRemainingMS = r.candidate.Remaining(now).Milliseconds()
 	page.Stats = r.stats
 	r.mu.Unlock()
 	// Since the store was read, this member may have observed a newer grant or acquired the lease.
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -46,7 +46,7 @@
 	}
 	if p.Owns {
 		owned = fmt.Sprintf("%d ms", p.OwnedForMS)
-		left = fmt.Sprintf("%d ms", p.LeaseRemaining)
+		left = fmt.Sprintf("%d ms", p.LeaseRemainingMS)
 	}
 	w.println("OWNER\tTOKEN\tHERE\tOWNED FOR\tLEASE LEFT")
 	w.printf("%s\t%d\t%v\t%s\t%s\n", holder, p.Token, p.Owns, owned, left)
