--- a/internal/cluster/leaseholder/golden_test.go
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -14,7 +14,7 @@
 	goldenfile.CheckJSON(t, "page.json", Page{Self: "odori-1", Holder: "susukino-2", Token: 1, Owns: true,
 		OwnedForMS:       6,
 		LeaseRemainingMS: 2,
-		Roles:            []RoleStatus{{Role: "export", LastRun: 3, Backlog: 4, Problem: "the sink answered 500"}},
+		Roles:            []RoleStatus{{Role: "export", SinceLastRunMS: 3, Backlog: 4, Problem: "the sink answered 500"}},
 		Stats: Stats{Grants: 11, Renewals: 12, Losses: 13, Resigned: 14, Calls: 15, RejectedCalls: 16, StaleCommands: 17,
 			FailedCalls: 18, Entries: 19, Duplicates: 20, Resumed: 21},
 		Endpoints: &EndpointStatus{FromOwner: true, AgeMS: 31, Version: 32},
--- a/internal/cluster/leaseholder/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -23,10 +23,10 @@
 
 // RoleStatus is the state of one role, as its owner sees it.
 type RoleStatus struct {
-	Role    string `json:"role"`        // roleExport or roleEndpoints
-	LastRun int64  `json:"last_run_ms"` // how long ago it last succeeded on this member, -1 for never
-	Backlog int    `json:"backlog"`     // periods and corrections that wait for their export
-	Problem string `json:"problem,omitempty"`
+	Role           string `json:"role"`        // roleExport or roleEndpoints
+	SinceLastRunMS int64  `json:"last_run_ms"` // how long ago it last succeeded on this member, -1 for never
+	Backlog        int    `json:"backlog"`     // periods and corrections that wait for their export
+	Problem        string `json:"problem,omitempty"`
 }
 
 // EndpointStatus says where this member's endpoint list comes from.
@@ -95,13 +95,13 @@
 func (e *Exporter) roleStatus() RoleStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return RoleStatus{Role: roleExport, LastRun: millisSince(e.lastRun), Problem: e.problem}
+	return RoleStatus{Role: roleExport, SinceLastRunMS: millisSince(e.lastRun), Problem: e.problem}
 }
 
 func (s *EndpointSync) roleStatus() RoleStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return RoleStatus{Role: roleEndpoints, LastRun: millisSince(s.lastRun), Problem: s.problem}
+	return RoleStatus{Role: roleEndpoints, SinceLastRunMS: millisSince(s.lastRun), Problem: s.problem}
 }
 
 func (s *EndpointSync) endpointStatus() EndpointStatus {
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -53,8 +53,8 @@
 	w.println("\nROLE\tLAST RUN HERE\tWAITING\tPROBLEM")
 	for _, s := range p.Roles {
 		last := "never"
-		if s.LastRun >= 0 {
-			last = (time.Duration(s.LastRun) * time.Millisecond).String() + " ago"
+		if s.SinceLastRunMS >= 0 {
+			last = (time.Duration(s.SinceLastRunMS) * time.Millisecond).String() + " ago"
 		}
 		w.printf("%s\t%s\t%d\t%s\n", s.Role, last, s.Backlog, s.Problem)
 	}
