--- a/internal/cluster/leaseholder/answers_test.go
+++ b/internal/cluster/leaseholder/answers_test.go
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	p.runner, err = New(Options{Name: m.name, Lease: answerLease, Store: store,
-		Export: &Exporter{Sink: "sink", CallTimeout: answerLease.TTL, BatchSize: 1},
+		Export: &Exporter{SinkAddress: "sink", CallTimeout: answerLease.TTL, BatchSize: 1},
 		Log:    slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -22,8 +22,8 @@
 // a JSON array of Entry and the token in lease.TokenHeader. It has one goroutine of its Runner, which takes
 // one step after the other: the intent of a period, its entries, its end, and then pending corrections.
 type Exporter struct {
-	// Sink is the host:port of the billing sink.
-	Sink string
+	// SinkAddress is the host:port of the billing sink.
+	SinkAddress string
 	// CallTimeout bounds one call, as the end of the lease does, and one read of the ledger; 1 s by default.
 	CallTimeout time.Duration
 	// BatchSize is the most entries in one call; 100 by default. At least 1.
@@ -100,7 +100,7 @@
 	}
 	e.problem = err.Error()
 	if previous == "" {
-		e.runner.opts.Log.Warn("owner: export failed, will be retried", "sink", e.Sink, "why", e.problem)
+		e.runner.opts.Log.Warn("owner: export failed, will be retried", "sink", e.SinkAddress, "why", e.problem)
 	}
 }
 
@@ -208,7 +208,7 @@
 
 // post makes one call and returns the sink's response, whatever its status.
 func (e *Exporter) post(ctx context.Context, token uint64, body []byte) (sinkResponse, error) {
-	url := "http://" + e.Sink + "/entries"
+	url := "http://" + e.SinkAddress + "/entries"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return sinkResponse{}, err
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -205,7 +205,7 @@
 	opts := Options{Name: name, Lease: settings, Store: memberStore{s, name},
 		Log: slog.New(slog.DiscardHandler)}
 	if sink != "" {
-		opts.Export = &Exporter{Sink: sink, CallTimeout: patience, BatchSize: 1}
+		opts.Export = &Exporter{SinkAddress: sink, CallTimeout: patience, BatchSize: 1}
 	}
 	if list != nil {
 		opts.Endpoints = &EndpointSync{Source: list, MaxAge: 400 * time.Millisecond, Jitter: 50 * time.Millisecond,
--- a/internal/proxy/daemon/roles.go
+++ b/internal/proxy/daemon/roles.go
@@ -46,7 +46,7 @@
 		opts.Faults = leaseholder.FileFaults{Path: c.FaultFile}
 	}
 	if c.HasRole(config.RoleExport) {
-		opts.Export = &leaseholder.Exporter{Sink: c.Sink, CallTimeout: c.CallTimeout, BatchSize: c.BatchSize}
+		opts.Export = &leaseholder.Exporter{SinkAddress: c.Sink, CallTimeout: c.CallTimeout, BatchSize: c.BatchSize}
 	}
 	if c.HasRole(config.RoleList) {
 		opts.Endpoints = &leaseholder.EndpointSync{Source: endpointSource{p.discovery}, MaxAge: c.ListMaxAge,
