--- a/internal/cluster/groupstate/endpoints_test.go
+++ b/internal/cluster/groupstate/endpoints_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	read := func(after uint64) EndpointView {
-		answer, err := l.machine.Read(Query{Kind: QueryEndpoints, After: after}.Encode())
+		answer, err := l.machine.Read(Query{Kind: QueryEndpoints, ChangedAfter: after}.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -134,7 +134,7 @@
 }
 
 func TestGoldenAnswersAndQueriesAreReadAndWrittenByteForByte(t *testing.T) {
-	q := Query{Kind: QueryEndpoints, After: 61, Query: ledger.Query{Tenant: "ramen-kita", Period: 62}}
+	q := Query{Kind: QueryEndpoints, ChangedAfter: 61, Query: ledger.Query{Tenant: "ramen-kita", Period: 62}}
 	goldenfile.CheckJSON(t, "query.json", q)
 	goldenfile.CheckBytes(t, "query.json", q.Encode())
 	goldenfile.CheckJSON(t, "questions.json", []string{QueryGrant, QueryView, QueryPendingExport, QueryEndpoints,
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -18,8 +18,8 @@
 
 // Query is what Machine.Read answers, as JSON. A ledger.Query in JSON is a Query too.
 type Query struct {
-	Kind  string `json:"ask,omitempty"`
-	After uint64 `json:"after,omitempty"` // QueryEndpoints: leave out the list unless it has changed after this
+	Kind         string `json:"ask,omitempty"`
+	ChangedAfter uint64 `json:"after,omitempty"` // QueryEndpoints: leave out the list unless it has changed after this
 	ledger.Query
 }
 
@@ -86,7 +86,7 @@
 		return m.pendingExport(), nil
 	case QueryEndpoints:
 		view := m.endpointView()
-		if view.Changed > query.After {
+		if view.Changed > query.ChangedAfter {
 			view.Raw = m.state.Endpoints.Raw
 		}
 		return view, nil
--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -176,7 +176,7 @@
 // bytes of the list are set only if it has changed since the last one applied. A zero view: none could be
 // read.
 func (s *EndpointSync) readPublished() (view groupstate.EndpointView) {
-	query := groupstate.Query{Kind: groupstate.QueryEndpoints, After: s.appliedVersion}
+	query := groupstate.Query{Kind: groupstate.QueryEndpoints, ChangedAfter: s.appliedVersion}
 	if value, ok := s.runner.opts.Store.Peek(query.Encode()); ok {
 		view, _ = value.(groupstate.EndpointView)
 		return view
