--- a/internal/cluster/groupstate/endpoints.go
+++ b/internal/cluster/groupstate/endpoints.go
@@ -39,9 +39,9 @@
 func (m *Machine) endpointView() EndpointView {
 	published := &m.state.Endpoints
 	return EndpointView{
-		Version: published.Version,
-		Changed: published.Changed,
-		Token:   published.Token,
-		Index:   published.Index,
+		Version:        published.Version,
+		ChangedVersion: published.Changed,
+		Token:          published.Token,
+		Index:          published.Index,
 	}
 }
--- a/internal/cluster/groupstate/endpoints_test.go
+++ b/internal/cluster/groupstate/endpoints_test.go
@@ -37,11 +37,11 @@
 		return answer.(EndpointView)
 	}
 	first := read(0)
-	if string(first.Raw) != `{"three":3}` || first.Index != 3 || len(read(first.Changed).Raw) != 0 {
+	if string(first.Raw) != `{"three":3}` || first.Index != 3 || len(read(first.ChangedVersion).Raw) != 0 {
 		t.Errorf("%+v", first)
 	}
 	publish("a", a, 3, "")
-	if again := read(first.Changed); again.Version <= first.Version || again.Changed != first.Changed {
+	if again := read(first.ChangedVersion); again.Version <= first.Version || again.ChangedVersion != first.ChangedVersion {
 		t.Errorf("confirmed: %+v after %+v", again, first)
 	}
 	if _, err := l.machine.Read([]byte(`{"ask":"what"}`)); err == nil {
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -48,11 +48,11 @@
 
 // EndpointView is the endpoint list as it was last published.
 type EndpointView struct {
-	Version uint64          `json:"version"`       // rises whenever the list is published or confirmed
-	Changed uint64          `json:"changed"`       // Version when the list itself was last published
-	Token   uint64          `json:"token"`         // of the owner that published it
-	Index   int64           `json:"index"`         // discovery's number of the list
-	Raw     json.RawMessage `json:"raw,omitempty"` // in discovery's format
+	Version        uint64          `json:"version"`       // rises whenever the list is published or confirmed
+	ChangedVersion uint64          `json:"changed"`       // Version when the list itself was last published
+	Token          uint64          `json:"token"`         // of the owner that published it
+	Index          int64           `json:"index"`         // discovery's number of the list
+	Raw            json.RawMessage `json:"raw,omitempty"` // in discovery's format
 }
 
 // PendingExport is what the owner has to export next.
@@ -86,7 +86,7 @@
 		return m.pendingExport(), nil
 	case QueryEndpoints:
 		view := m.endpointView()
-		if view.Changed > query.ChangedAfter {
+		if view.ChangedVersion > query.ChangedAfter {
 			view.Raw = m.state.Endpoints.Raw
 		}
 		return view, nil
--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -200,7 +200,7 @@
 	if !accepted || len(view.Raw) == 0 {
 		return
 	}
-	s.appliedVersion = view.Changed
+	s.appliedVersion = view.ChangedVersion
 	if !owns { // the lease holder has it from discovery
 		s.Source.Replace(view.Raw)
 	}
