--- a/internal/cluster/groupstate/endpoints.go
+++ b/internal/cluster/groupstate/endpoints.go
@@ -42,6 +42,6 @@
 		Version:        published.Version,
 		ChangedVersion: published.Changed,
 		Token:          published.Token,
-		Index:          published.Index,
+		DiscoveryIndex: published.Index,
 	}
 }
--- a/internal/cluster/groupstate/endpoints_test.go
+++ b/internal/cluster/groupstate/endpoints_test.go
@@ -37,7 +37,7 @@
 		return answer.(EndpointView)
 	}
 	first := read(0)
-	if string(first.Raw) != `{"three":3}` || first.Index != 3 || len(read(first.ChangedVersion).Raw) != 0 {
+	if string(first.Raw) != `{"three":3}` || first.DiscoveryIndex != 3 || len(read(first.ChangedVersion).Raw) != 0 {
 		t.Errorf("%+v", first)
 	}
 	publish("a", a, 3, "")
--- a/internal/cluster/groupstate/follower.go
+++ b/internal/cluster/groupstate/follower.go
@@ -24,7 +24,7 @@
 // localIndex is discovery's number of the list that this member uses: a published one behind that isn't
 // accepted, as servers that have left would come back.
 func (f *Follower) Observe(now time.Duration, view EndpointView, localIndex int64) bool {
-	if view.Version <= f.version || view.Index < localIndex {
+	if view.Version <= f.version || view.DiscoveryIndex < localIndex {
 		return false
 	}
 	f.version, f.observedAt = view.Version, now
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -141,7 +141,7 @@
 		FleetRole, StatusAccepted, StatusStale,
 		StatusRejected})
 	goldenfile.CheckJSON(t, "result.json", Result{Status: StatusStale, Reason: "another's"})
-	list := EndpointView{Version: 71, ChangedVersion: 72, Token: 73, Index: 74, Raw: []byte(`{"index":74}`)}
+	list := EndpointView{Version: 71, ChangedVersion: 72, Token: 73, DiscoveryIndex: 74, Raw: []byte(`{"index":74}`)}
 	goldenfile.CheckJSON(t, "list.json", list)
 	goldenfile.CheckJSON(t, "view.json", View{Grant: goldenGrant, LastExported: 81, IntentPeriod: 82, IntentToken: 83,
 		FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenFigures})
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -51,7 +51,7 @@
 	Version        uint64          `json:"version"`       // rises whenever the list is published or confirmed
 	ChangedVersion uint64          `json:"changed"`       // Version when the list itself was last published
 	Token          uint64          `json:"token"`         // of the owner that published it
-	Index          int64           `json:"index"`         // discovery's number of the list
+	DiscoveryIndex int64           `json:"index"`         // discovery's number of the list
 	Raw            json.RawMessage `json:"raw,omitempty"` // in discovery's format
 }
 
--- a/internal/cluster/leaseholder/golden_test.go
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -20,7 +20,7 @@
 		Endpoints: &EndpointStatus{FromOwner: true, AgeMS: 31, Version: 32},
 		Store: &groupstate.View{Grant: lease.Grant{Holder: "odori-1", Token: 41, Renewals: 42}, LastExported: 43,
 			IntentPeriod: 44, IntentToken: 45, FinalPeriod: 46, OpenPeriod: 47, Backlog: 48, PendingCorrections: 49,
-			Endpoints: groupstate.EndpointView{Version: 51, ChangedVersion: 52, Token: 53, Index: 54,
+			Endpoints: groupstate.EndpointView{Version: 51, ChangedVersion: 52, Token: 53, DiscoveryIndex: 54,
 				Raw: []byte(`{"index":54}`)},
 			Stats: groupstate.Stats{Grants: 61, Stale: 62, Rejected: 63, ExportedPeriods: 64, DroppedPeriods: 65, ExportedCorrections: 66,
 				EndpointLists: 67}},
