--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -41,10 +41,10 @@
 
 // PublishEndpointList publishes the list of zone servers. An empty Raw confirms the list published before.
 type PublishEndpointList struct {
-	Member string
-	Token  uint64
-	Index  int64  // discovery's number of the list
-	Raw    []byte // JSON in discovery's format
+	Member         string
+	Token          uint64
+	DiscoveryIndex int64  // discovery's number of the list
+	Raw            []byte // JSON in discovery's format
 }
 
 // EncodeLease encodes a command of the lease for the log.
--- a/internal/cluster/groupstate/endpoints.go
+++ b/internal/cluster/groupstate/endpoints.go
@@ -24,10 +24,10 @@
 		return m.reject("a list of %d bytes, %d at most", len(cmd.Raw), maxEndpointListBytes)
 	case len(cmd.Raw) > 0 && !json.Valid(cmd.Raw):
 		return m.reject("the list is no JSON")
-	case len(cmd.Raw) == 0 && (current.Token != cmd.Token || current.Index != cmd.Index):
+	case len(cmd.Raw) == 0 && (current.Token != cmd.Token || current.Index != cmd.DiscoveryIndex):
 		return m.reject("the list is said to be as it was, and it is another owner's")
 	}
-	current.Version, current.Token, current.Index = m.appliedIndex, cmd.Token, cmd.Index
+	current.Version, current.Token, current.Index = m.appliedIndex, cmd.Token, cmd.DiscoveryIndex
 	if len(cmd.Raw) > 0 {
 		current.Changed, current.Raw = m.appliedIndex, cmd.Raw
 	}
--- a/internal/cluster/groupstate/endpoints_test.go
+++ b/internal/cluster/groupstate/endpoints_test.go
@@ -6,7 +6,7 @@
 	l := newLog(t)
 	a := l.acquire("a")
 	publish := func(member string, token uint64, index int64, raw string) string {
-		return l.status((&PublishEndpointList{Member: member, Token: token, Index: index, Raw: []byte(raw)}).Encode())
+		return l.status((&PublishEndpointList{Member: member, Token: token, DiscoveryIndex: index, Raw: []byte(raw)}).Encode())
 	}
 	for _, c := range []struct { // in this order
 		name   string
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -45,7 +45,7 @@
 	goldenEntry(t, "done.bin", done, done.Encode())
 	settled := CorrectionsExported{Member: "odori-1", Token: 302, UpToSeq: 70_002}
 	goldenEntry(t, "settled.bin", settled, settled.Encode())
-	list := PublishEndpointList{Member: "odori-1", Token: 303, Index: 70_003, Raw: []byte(`{"index":70003}`)}
+	list := PublishEndpointList{Member: "odori-1", Token: 303, DiscoveryIndex: 70_003, Raw: []byte(`{"index":70003}`)}
 	goldenEntry(t, "list.bin", list, list.Encode())
 
 	for name, op := range map[string]lease.Op{"take.bin": lease.Acquire, "renew.bin": lease.Renew,
--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -144,7 +144,7 @@
 	if err != nil || list == nil {
 		return err
 	}
-	cmd := &groupstate.PublishEndpointList{Member: s.runner.opts.Name, Token: token, Index: index}
+	cmd := &groupstate.PublishEndpointList{Member: s.runner.opts.Name, Token: token, DiscoveryIndex: index}
 	if !unchanged || !bytes.Equal(list, s.last.list) {
 		cmd.Raw = list
 	}
