--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -9,7 +9,7 @@
 
 var testSettings = Settings{TTL: 2 * time.Second, Drift: 0.05, ElectionTimeout: time.Second}
 
-func TestUnsoundSettingsAreRejected(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for want, settings := range map[string]Settings{
 		"election": {TTL: time.Second, Drift: 0.05, ElectionTimeout: time.Second},
 		"drift":    {TTL: 2 * time.Second, Drift: 0.5},
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestCandidateNeedsNames(t *testing.T) {
+func TestNewCandidateRequiresMemberAndRole(t *testing.T) {
 	if _, err := NewCandidate(testSettings, "", "x"); err == nil {
 		t.Error("a candidate without a name")
 	}
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestTableAppliesWhatNamesTheCurrentGrant(t *testing.T) {
+func TestTableAppliesOnlyCommandsThatNameTheCurrentGrant(t *testing.T) {
 	a1 := Grant{Holder: "a", Token: 5}
 	for name, c := range map[string]struct {
 		current Grant
@@ -89,7 +89,7 @@
 	return c
 }
 
-func TestLeaseCountsFromItsProposal(t *testing.T) {
+func TestLeaseStartsWhenItsCommandIsProposed(t *testing.T) {
 	c := newOwner(t, 500*time.Millisecond)
 	if !c.Owns(1999*time.Millisecond) || c.Owns(2*time.Second) {
 		t.Error("the lease does not count from its proposal")
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestHolderRenews(t *testing.T) {
+func TestHolderRenewsAfterAThirdOfTheLease(t *testing.T) {
 	c := newOwner(t, 500*time.Millisecond)
 	if _, ok := c.NextProposal(600 * time.Millisecond); ok {
 		t.Error("renewed before a third of the lease")
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestOtherMemberTakesOverAfterTheDrift(t *testing.T) {
+func TestTakeoverWaitsForTheClockDrift(t *testing.T) {
 	other := newCandidate(t, "b", Grant{Holder: "a", Token: 5})
 	if _, ok := other.NextProposal(2100 * time.Millisecond); ok {
 		t.Error("taken over within the drift")
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestGrantOfAnEarlierIncarnationIsNotActedOn(t *testing.T) {
+func TestGrantOfAnEarlierIncarnationGivesNoOwnership(t *testing.T) {
 	restarted := newCandidate(t, "a", Grant{Holder: "a", Token: 5})
 	if restarted.Owns(1) {
 		t.Error("an earlier incarnation's grant is acted on")
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -21,18 +21,18 @@
 	pausedUntil      []time.Duration // a member does nothing until then
 	partitionedUntil []time.Duration // a member can't reach the log until then
 	table            *Table
-	index            uint64
-	log              []Grant         // the grant after each entry
+	logIndex         uint64
+	grantLog         []Grant         // the grant after each entry
 	committedAt      []time.Duration // when that entry was committed
-	observedEntries  []int           // of the log, by member
+	observedCount    []int           // of the log, by member
 	replicationLag   []time.Duration // by member
 	inFlight         []proposalInFlight
 	results          []resultInFlight
-	effects          []effect
+	sideEffects      []sideEffect
 	fence            Fence
 	scenario         scenario
 
-	pauses, rejected, staleAdmitted, acquired int
+	pausedOwners, rejectedEffects, staleEffects, acquisitions int
 }
 
 // testingT is what testing.T and rapid.T have in common.
@@ -66,10 +66,10 @@
 }
 
 type proposalInFlight struct {
-	from     int
-	cmd      Command
-	at       time.Duration // when it reaches the log
-	answered bool          // its result comes back
+	from           int
+	cmd            Command
+	at             time.Duration // when it reaches the log
+	resultReturned bool          // its result comes back
 }
 
 type resultInFlight struct {
@@ -78,7 +78,7 @@
 	at     time.Duration // when it reaches the member
 }
 
-type effect struct {
+type sideEffect struct {
 	token uint64
 	at    time.Duration // when it reaches the receiver
 }
@@ -93,8 +93,8 @@
 	return time.Duration(float64(m.now) * m.rates[i])
 }
 
-// upTo draws a duration from 0 to d.
-func (m *clusterModel) upTo(d time.Duration) time.Duration {
+// randomUpTo draws a duration from 0 to d.
+func (m *clusterModel) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Int64N(int64(d) + 1))
 }
 
@@ -118,8 +118,8 @@
 		c.Observe(0, Grant{})
 		m.rates = append(m.rates, rate)
 		m.members = append(m.members, c)
-		m.observedEntries = append(m.observedEntries, 0)
-		m.replicationLag = append(m.replicationLag, m.upTo(200*time.Millisecond))
+		m.observedCount = append(m.observedCount, 0)
+		m.replicationLag = append(m.replicationLag, m.randomUpTo(200*time.Millisecond))
 		m.pausedUntil = append(m.pausedUntil, 0)
 		m.partitionedUntil = append(m.partitionedUntil, 0)
 	}
@@ -131,14 +131,14 @@
 	c := m.members[i]
 	if m.happens(m.scenario.pauseRate) {
 		if c.Owns(m.localClock(i)) {
-			m.pauses++
+			m.pausedOwners++
 			// It had looked at its lease and was about to act: the effect goes out when it wakes.
-			m.effects = append(m.effects, effect{c.Token(), m.now + m.upTo(maxOutage)})
+			m.sideEffects = append(m.sideEffects, sideEffect{c.Token(), m.now + m.randomUpTo(maxOutage)})
 		}
-		m.pausedUntil[i] = m.now + m.upTo(maxOutage)
+		m.pausedUntil[i] = m.now + m.randomUpTo(maxOutage)
 	}
 	if m.happens(m.scenario.partitionRate) {
-		m.partitionedUntil[i] = m.now + m.upTo(maxOutage)
+		m.partitionedUntil[i] = m.now + m.randomUpTo(maxOutage)
 	}
 	if m.now < m.pausedUntil[i] {
 		return
@@ -150,10 +150,10 @@
 		m.propose(i, cmd)
 	}
 	if c.Owns(m.localClock(i)) {
-		m.effects = append(m.effects, effect{c.Token(), m.now + m.upTo(m.scenario.maxDelay)})
+		m.sideEffects = append(m.sideEffects, sideEffect{c.Token(), m.now + m.randomUpTo(m.scenario.maxDelay)})
 		if m.rng.Float64() < 0.002 {
 			if cmd, ok := c.Resign(); ok {
-				at := m.now + m.upTo(m.scenario.maxDelay)
+				at := m.now + m.randomUpTo(m.scenario.maxDelay)
 				m.inFlight = append(m.inFlight, proposalInFlight{i, cmd, at, false})
 			}
 		}
@@ -162,10 +162,10 @@
 
 // replicate has a member observe the entries of the log that have reached its replica.
 func (m *clusterModel) replicate(i int) {
-	for m.observedEntries[i] < len(m.log) &&
-		m.committedAt[m.observedEntries[i]]+m.replicationLag[i] <= m.now {
-		m.members[i].Observe(m.localClock(i), m.log[m.observedEntries[i]])
-		m.observedEntries[i]++
+	for m.observedCount[i] < len(m.grantLog) &&
+		m.committedAt[m.observedCount[i]]+m.replicationLag[i] <= m.now {
+		m.members[i].Observe(m.localClock(i), m.grantLog[m.observedCount[i]])
+		m.observedCount[i]++
 	}
 }
 
@@ -175,13 +175,13 @@
 		m.members[i].HandleNoResult()
 		return
 	}
-	p := proposalInFlight{i, cmd, m.now + m.upTo(m.scenario.maxDelay), m.rng.Float64() >= m.scenario.lossRate}
+	p := proposalInFlight{i, cmd, m.now + m.randomUpTo(m.scenario.maxDelay), m.rng.Float64() >= m.scenario.lossRate}
 	m.inFlight = append(m.inFlight, p)
 	if m.rng.Float64() < m.scenario.duplicateRate {
-		p.at, p.answered = p.at+m.upTo(5*time.Second), false
+		p.at, p.resultReturned = p.at+m.randomUpTo(5*time.Second), false
 		m.inFlight = append(m.inFlight, p)
 	}
-	if !p.answered {
+	if !p.resultReturned {
 		m.members[i].HandleNoResult()
 	}
 }
@@ -201,9 +201,9 @@
 		m.members[r.from].HandleResult(m.localClock(r.from), r.result)
 		return true
 	})
-	m.effects = slices.DeleteFunc(m.effects, func(e effect) bool {
+	m.sideEffects = slices.DeleteFunc(m.sideEffects, func(e sideEffect) bool {
 		if e.at <= m.now {
-			m.receive(e)
+			m.receiveSideEffect(e)
 		}
 		return e.at <= m.now
 	})
@@ -211,33 +211,33 @@
 
 // commit has the log apply a command.
 func (m *clusterModel) commit(p proposalInFlight) {
-	m.index += uint64(1 + m.rng.IntN(3))
+	m.logIndex += uint64(1 + m.rng.IntN(3))
 	before := m.table.Get("c")
-	r := m.table.Apply(m.index, p.cmd)
+	r := m.table.Apply(m.logIndex, p.cmd)
 	if r.Grant.Token < before.Token {
 		m.t.Fatalf("the token fell from %d to %d", before.Token, r.Grant.Token)
 	}
 	if r.Applied && p.cmd.Op == Acquire {
-		m.acquired++
+		m.acquisitions++
 	}
-	m.log, m.committedAt = append(m.log, r.Grant), append(m.committedAt, m.now)
-	if p.answered {
-		m.results = append(m.results, resultInFlight{p.from, r, m.now + m.upTo(m.scenario.maxDelay)})
+	m.grantLog, m.committedAt = append(m.grantLog, r.Grant), append(m.committedAt, m.now)
+	if p.resultReturned {
+		m.results = append(m.results, resultInFlight{p.from, r, m.now + m.randomUpTo(m.scenario.maxDelay)})
 	}
 }
 
-// receive has the receiver of side effects check a token.
-func (m *clusterModel) receive(e effect) {
+// receiveSideEffect has the receiver of side effects check a token.
+func (m *clusterModel) receiveSideEffect(e sideEffect) {
 	highest := m.fence.HighestToken
 	if m.fence.Admit(e.token) != nil {
-		m.rejected++
+		m.rejectedEffects++
 	} else if e.token < highest {
-		m.staleAdmitted++
+		m.staleEffects++
 	}
 }
 
-// play runs the model for two minutes and fails the test once two members own the role.
-func (m *clusterModel) play() {
+// run runs the model for two minutes and fails the test once two members own the role.
+func (m *clusterModel) run() {
 	m.t.Helper()
 	for m.now = 0; m.now < 2*time.Minute; m.now += modelStep {
 		m.deliver()
@@ -261,9 +261,9 @@
 	pauses, rejected, stale, acquired := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, drawScenario(t))
-		m.play()
-		pauses, rejected, stale, acquired = pauses+m.pauses, rejected+m.rejected, stale+m.staleAdmitted,
-			acquired+m.acquired
+		m.run()
+		pauses, rejected, stale, acquired = pauses+m.pausedOwners, rejected+m.rejectedEffects, stale+m.staleEffects,
+			acquired+m.acquisitions
 	})
 	t.Logf("%d grants, %d owners paused about to act, %d side effects rejected by token, %d stale admitted",
 		acquired, pauses, rejected, stale)
@@ -281,6 +281,6 @@
 		"lease counted from the result instead of the proposal": {members: 3, lossRate: 0.03125,
 			duplicateRate: 0.1, pauseRate: 0.4, partitionRate: 0.0625, maxDelay: time.Millisecond},
 	} {
-		t.Run(name, func(t *testing.T) { newModel(t, s).play() })
+		t.Run(name, func(t *testing.T) { newModel(t, s).run() })
 	}
 }
