--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -8,11 +8,11 @@
 // Kinds of commands in the log, beside those of package ledger. They stand before the command itself
 // (logcodec.EncodeCommand).
 const (
-	kindLease           = 'L'
-	kindExportIntent    = 'I'
-	kindExportDone      = 'D'
-	kindCorrectionsSent = 'S'
-	kindEndpointList    = 'T'
+	kindLease               = 'L'
+	kindExportIntent        = 'I'
+	kindExportDone          = 'D'
+	kindCorrectionsExported = 'S'
+	kindPublishEndpointList = 'T'
 )
 
 // The commands of a role carry the name of the owner that proposes them and the token of its grant. They are
@@ -57,7 +57,11 @@
 func (c *ExportDone) Encode() []byte { return logcodec.EncodeCommand(kindExportDone, c) }
 
 // Encode encodes the command for the log.
-func (c *CorrectionsExported) Encode() []byte { return logcodec.EncodeCommand(kindCorrectionsSent, c) }
+func (c *CorrectionsExported) Encode() []byte {
+	return logcodec.EncodeCommand(kindCorrectionsExported, c)
+}
 
 // Encode encodes the command for the log.
-func (c *PublishEndpointList) Encode() []byte { return logcodec.EncodeCommand(kindEndpointList, c) }
+func (c *PublishEndpointList) Encode() []byte {
+	return logcodec.EncodeCommand(kindPublishEndpointList, c)
+}
--- a/internal/cluster/groupstate/endpoints.go
+++ b/internal/cluster/groupstate/endpoints.go
@@ -8,13 +8,13 @@
 // endpointState is the endpoint list as it was last published. It is stored in snapshots, see package
 // logcodec.
 type endpointState struct {
-	Token, Version, Changed uint64 // as in EndpointView
-	Index                   int64  // the same
-	Raw                     []byte // JSON in discovery's format
+	Token, Version, ChangedVersion uint64 // as in EndpointView
+	DiscoveryIndex                 int64  // the same
+	Raw                            []byte // JSON in discovery's format
 }
 
-// applyEndpointList publishes a list, or confirms the one that the same owner published under the same index.
-func (m *Machine) applyEndpointList(cmd *PublishEndpointList) Result {
+// applyPublishEndpointList publishes a list, or confirms the one that the same owner published under the same index.
+func (m *Machine) applyPublishEndpointList(cmd *PublishEndpointList) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
 	}
@@ -24,12 +24,12 @@
 		return m.reject("a list of %d bytes, %d at most", len(cmd.Raw), maxEndpointListBytes)
 	case len(cmd.Raw) > 0 && !json.Valid(cmd.Raw):
 		return m.reject("the list is no JSON")
-	case len(cmd.Raw) == 0 && (current.Token != cmd.Token || current.Index != cmd.DiscoveryIndex):
+	case len(cmd.Raw) == 0 && (current.Token != cmd.Token || current.DiscoveryIndex != cmd.DiscoveryIndex):
 		return m.reject("the list is said to be as it was, and it is another owner's")
 	}
-	current.Version, current.Token, current.Index = m.appliedIndex, cmd.Token, cmd.DiscoveryIndex
+	current.Version, current.Token, current.DiscoveryIndex = m.appliedIndex, cmd.Token, cmd.DiscoveryIndex
 	if len(cmd.Raw) > 0 {
-		current.Changed, current.Raw = m.appliedIndex, cmd.Raw
+		current.ChangedVersion, current.Raw = m.appliedIndex, cmd.Raw
 	}
 	m.state.Stats.EndpointLists++
 	return accepted
@@ -40,8 +40,8 @@
 	published := &m.state.Endpoints
 	return EndpointView{
 		Version:        published.Version,
-		ChangedVersion: published.Changed,
+		ChangedVersion: published.ChangedVersion,
 		Token:          published.Token,
-		DiscoveryIndex: published.Index,
+		DiscoveryIndex: published.DiscoveryIndex,
 	}
 }
--- a/internal/cluster/groupstate/endpoints_test.go
+++ b/internal/cluster/groupstate/endpoints_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-func TestEndpointListIsPublishedAndConfirmedByTheOwner(t *testing.T) {
-	l := newLog(t)
+func TestOnlyTheOwnerPublishesTheEndpointList(t *testing.T) {
+	l := newTestLog(t)
 	a := l.acquire("a")
 	publish := func(member string, token uint64, index int64, raw string) string {
-		return l.status((&PublishEndpointList{Member: member, Token: token, DiscoveryIndex: index, Raw: []byte(raw)}).Encode())
+		return l.applyStatus((&PublishEndpointList{Member: member, Token: token, DiscoveryIndex: index, Raw: []byte(raw)}).Encode())
 	}
 	for _, c := range []struct { // in this order
 		name   string
--- a/internal/cluster/groupstate/export.go
+++ b/internal/cluster/groupstate/export.go
@@ -28,10 +28,10 @@
 // if there was no export at all, or if too many wait. It counts the periods dropped before their export. The
 // ledger calls it for its oldest period when it applies a close, and drops the period if it may.
 func (m *Machine) mayDrop(period uint64) bool {
-	if !m.state.ExportStarted || period <= m.state.Exported {
+	if !m.state.ExportStarted || period <= m.state.LastExported {
 		return true
 	}
-	sending := m.state.Open != nil && m.state.Open.Period == period
+	sending := m.state.OpenExport != nil && m.state.OpenExport.Period == period
 	if m.Ledger.OpenPeriod()-period > maxUnexportedPeriods && !sending {
 		m.state.Stats.DroppedPeriods++
 		return true
@@ -39,88 +39,90 @@
 	return false
 }
 
-// lastSealed returns the newest period whose rows are frozen: the one being sent, else the last one exported.
-func (m *Machine) lastSealed() uint64 {
-	if m.state.Open != nil {
-		return m.state.Open.Period
+// lastFrozenPeriod returns the newest period whose rows are frozen: the one being sent, else the last one exported.
+func (m *Machine) lastFrozenPeriod() uint64 {
+	if m.state.OpenExport != nil {
+		return m.state.OpenExport.Period
 	}
-	return m.state.Exported
+	return m.state.LastExported
 }
 
-// nextDue returns the next period to be exported, 0 if there is none yet.
-func (m *Machine) nextDue() uint64 {
-	next := m.nextUnexported()
+// nextDuePeriod returns the next period to be exported, 0 if there is none yet.
+func (m *Machine) nextDuePeriod() uint64 {
+	next := m.nextUnexportedPeriod()
 	if next > m.Ledger.FinalPeriod() {
 		return 0
 	}
 	return next
 }
 
-// nextUnexported returns the oldest period that is retained and not exported.
-func (m *Machine) nextUnexported() uint64 { return max(m.state.Exported+1, m.Ledger.FirstPeriod()) }
+// nextUnexportedPeriod returns the oldest period that is retained and not exported.
+func (m *Machine) nextUnexportedPeriod() uint64 {
+	return max(m.state.LastExported+1, m.Ledger.FirstPeriod())
+}
 
-// applyIntent opens the export of the next due period and freezes its rows.
-func (m *Machine) applyIntent(cmd *ExportIntent) Result {
+// applyExportIntent opens the export of the next due period and freezes its rows.
+func (m *Machine) applyExportIntent(cmd *ExportIntent) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
 	}
 	switch {
-	case m.state.Open != nil && m.state.Open.Period == cmd.Period:
+	case m.state.OpenExport != nil && m.state.OpenExport.Period == cmd.Period:
 		return accepted // a duplicate: what is sent remains as it was
-	case m.state.Open != nil:
-		return m.reject("period %d is being sent", m.state.Open.Period)
-	case cmd.Period == 0 || cmd.Period != m.nextDue():
-		return m.reject("period %d is not the next to be sent; that is %d", cmd.Period, m.nextDue())
+	case m.state.OpenExport != nil:
+		return m.reject("period %d is being sent", m.state.OpenExport.Period)
+	case cmd.Period == 0 || cmd.Period != m.nextDuePeriod():
+		return m.reject("period %d is not the next to be sent; that is %d", cmd.Period, m.nextDuePeriod())
 	}
 	rows, ok := m.Ledger.Rows(cmd.Period)
 	if !ok {
 		return m.reject("there is no period %d", cmd.Period)
 	}
 	m.state.ExportStarted = true
-	m.state.Open = &openExport{Period: cmd.Period, Token: cmd.Token, Rows: rows}
+	m.state.OpenExport = &openExport{Period: cmd.Period, Token: cmd.Token, Rows: rows}
 	return accepted
 }
 
-// applyDone ends the export of the open period.
-func (m *Machine) applyDone(cmd *ExportDone) Result {
+// applyExportDone ends the export of the open period.
+func (m *Machine) applyExportDone(cmd *ExportDone) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
 	}
 	switch {
-	case m.state.Open == nil && cmd.Period == m.state.Exported:
+	case m.state.OpenExport == nil && cmd.Period == m.state.LastExported:
 		return accepted // a duplicate
-	case m.state.Open == nil || m.state.Open.Period != cmd.Period:
+	case m.state.OpenExport == nil || m.state.OpenExport.Period != cmd.Period:
 		return m.reject("period %d is not being sent", cmd.Period)
 	}
-	m.state.Exported, m.state.Open = cmd.Period, nil
+	m.state.LastExported, m.state.OpenExport = cmd.Period, nil
 	m.state.Stats.ExportedPeriods++
 	return accepted
 }
 
-// applyCorrection applies a correction of a sealed period, which is exported on its own.
-func (m *Machine) applyCorrection(index uint64, data []byte, correction ledger.Correction) ledger.Result {
-	if len(m.state.Corrections) >= maxPendingCorrections {
+// applyLateCorrection applies a correction of a sealed period, which is exported on its own.
+func (m *Machine) applyLateCorrection(index uint64, data []byte, correction ledger.Correction) ledger.Result {
+	if len(m.state.PendingCorrections) >= maxPendingCorrections {
 		m.state.Stats.Rejected++
 		return ledger.Result{Status: ledger.StatusRejected, Index: index, Period: correction.Period}
 	}
 	result := m.Ledger.Apply(index, data)
 	if result.Status == ledger.StatusCorrected {
-		m.state.CorrectionSeq++
-		m.state.Corrections = append(m.state.Corrections, PendingCorrection{m.state.CorrectionSeq, correction})
+		m.state.LastCorrectionSeq++
+		m.state.PendingCorrections = append(m.state.PendingCorrections, PendingCorrection{m.state.LastCorrectionSeq, correction})
 	}
 	return result
 }
 
-// applyCorrectionsSent drops the pending corrections that the sink has.
-func (m *Machine) applyCorrectionsSent(cmd *CorrectionsExported) Result {
+// applyCorrectionsExported drops the pending corrections that the sink has.
+func (m *Machine) applyCorrectionsExported(cmd *CorrectionsExported) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
 	}
-	if cmd.UpToSeq > m.state.CorrectionSeq {
+	if cmd.UpToSeq > m.state.LastCorrectionSeq {
 		return m.reject("there is no correction %d", cmd.UpToSeq)
 	}
-	for len(m.state.Corrections) > 0 && m.state.Corrections[0].Seq <= cmd.UpToSeq {
-		m.state.Corrections = m.state.Corrections[1:]
+	for len(m.state.PendingCorrections) > 0 && m.state.PendingCorrections[0].Seq <= cmd.UpToSeq {
+		m.state.PendingCorrections = m.state.PendingCorrections[1:]
 		m.state.Stats.ExportedCorrections++
 	}
 	return accepted
--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -7,8 +7,8 @@
 )
 
 // What each command of the export does, and that it is rejected under a token that isn't that of the grant.
-func TestExportGoesStepByStepUnderTheCurrentGrant(t *testing.T) {
-	l := newLog(t)
+func TestExportStepsRequireTheCurrentGrant(t *testing.T) {
+	l := newTestLog(t)
 	l.addPeriod(5)
 	a := l.acquire("a")
 	intent := func(member string, token, period uint64) []byte {
@@ -26,15 +26,15 @@
 			t.Errorf("%s: %s, not %s", what, got, want)
 		}
 	}
-	check("a period that does not exist", l.status(intent("a", a, 9)), StatusRejected)
-	check("no period", l.status(intent("a", a, 0)), StatusRejected)
-	check("the open period", l.status(intent("a", a, 2)), StatusRejected)
-	check("another's token", l.status(intent("b", a, 1)), StatusStale)
-	check("no token", l.status(intent("a", 0, 1)), StatusStale)
-	check("a token of the future", l.status(intent("a", a+1, 1)), StatusStale)
-	check("done before begun", l.status(done("a", a, 1)), StatusRejected)
-	check("the next period", l.status(intent("a", a, 1)), StatusAccepted)
-	check("the same again", l.status(intent("a", a, 1)), StatusAccepted)
+	check("a period that does not exist", l.applyStatus(intent("a", a, 9)), StatusRejected)
+	check("no period", l.applyStatus(intent("a", a, 0)), StatusRejected)
+	check("the open period", l.applyStatus(intent("a", a, 2)), StatusRejected)
+	check("another's token", l.applyStatus(intent("b", a, 1)), StatusStale)
+	check("no token", l.applyStatus(intent("a", 0, 1)), StatusStale)
+	check("a token of the future", l.applyStatus(intent("a", a+1, 1)), StatusStale)
+	check("done before begun", l.applyStatus(done("a", a, 1)), StatusRejected)
+	check("the next period", l.applyStatus(intent("a", a, 1)), StatusAccepted)
+	check("the same again", l.applyStatus(intent("a", a, 1)), StatusAccepted)
 	// A correction that comes now is not part of what is sent.
 	fix := &ledger.Correction{ID: "x", Period: 1, Key: ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup",
 		Answer: "passed"}, Usage: ledger.Usage{Count: -1}, Reason: "asked for"}
@@ -43,22 +43,22 @@
 	}
 	l.apply(fix.Encode()) // the same id counts once
 	b := l.acquire("b")
-	check("the old owner is done", l.status(done("a", a, 1)), StatusStale)
+	check("the old owner is done", l.applyStatus(done("a", a, 1)), StatusStale)
 	if s := l.pendingExport(); s.IntentPeriod != 1 || s.IntentToken != a || len(s.Rows) != 1 || s.Rows[0].Count != 5 ||
 		s.Rows[0].Corrections.Count != 0 || len(s.Corrections) != 1 {
 		t.Errorf("what the next owner sends is %+v", s)
 	}
 	l.addPeriod(7)
-	check("a second intent", l.status(intent("b", b, 2)), StatusRejected)
-	check("the next owner is done", l.status(done("b", b, 1)), StatusAccepted)
-	check("and again", l.status(done("b", b, 1)), StatusAccepted)
-	check("corrections that are not", l.status((&CorrectionsExported{"b", b, 2}).Encode()), StatusRejected)
-	check("corrections by the old owner", l.status((&CorrectionsExported{"a", a, 1}).Encode()), StatusStale)
-	check("corrections", l.status((&CorrectionsExported{"b", b, 1}).Encode()), StatusAccepted)
+	check("a second intent", l.applyStatus(intent("b", b, 2)), StatusRejected)
+	check("the next owner is done", l.applyStatus(done("b", b, 1)), StatusAccepted)
+	check("and again", l.applyStatus(done("b", b, 1)), StatusAccepted)
+	check("corrections that are not", l.applyStatus((&CorrectionsExported{"b", b, 2}).Encode()), StatusRejected)
+	check("corrections by the old owner", l.applyStatus((&CorrectionsExported{"a", a, 1}).Encode()), StatusStale)
+	check("corrections", l.applyStatus((&CorrectionsExported{"b", b, 1}).Encode()), StatusAccepted)
 	if s := l.pendingExport(); s.DuePeriod != 2 || len(s.Corrections) != 0 {
 		t.Errorf("%+v", s)
 	}
-	check("garbage", l.status([]byte{'I', 0xc1}), StatusRejected)
+	check("garbage", l.applyStatus([]byte{'I', 0xc1}), StatusRejected)
 	v := l.machine.View()
 	if v.LastExported != 1 || v.Backlog != 1 || v.Stats.ExportedPeriods != 1 || v.Stats.ExportedCorrections != 1 ||
 		v.Stats.Stale != 5 || v.Stats.Rejected != 7 || v.Stats.Grants != 2 {
@@ -67,8 +67,8 @@
 }
 
 // A period that was not exported is retained beyond the bound on periods once exports have begun.
-func TestPeriodsWaitForTheirExport(t *testing.T) {
-	l := newLog(t)
+func TestUnexportedPeriodsAreRetained(t *testing.T) {
+	l := newTestLog(t)
 	for range 10 {
 		l.addPeriod(1)
 	}
@@ -76,7 +76,7 @@
 		t.Errorf("without an export the oldest is %d", first)
 	}
 	a := l.acquire("a")
-	if s := l.status((&ExportIntent{"a", a, 8}).Encode()); s != StatusAccepted {
+	if s := l.applyStatus((&ExportIntent{"a", a, 8}).Encode()); s != StatusAccepted {
 		t.Fatal(s)
 	}
 	for range 10 {
--- a/internal/cluster/groupstate/follower_test.go
+++ b/internal/cluster/groupstate/follower_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestFollowerUsesAListUntilItIsTooOld(t *testing.T) {
+func TestFollowerUsesListUntilMaxAge(t *testing.T) {
 	f := NewFollower(0, 4*time.Second, time.Second)
 	if !f.Fresh(5*time.Second) || f.Fresh(5*time.Second+1) {
 		t.Error("the first list is not waited for as the next would be")
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -15,14 +15,14 @@
 	goldenKey   = ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
 	goldenRow   = ledger.Row{Key: goldenKey, Usage: ledger.Usage{Count: 21, BytesIn: 22, BytesOut: 23},
 		Corrections: ledger.Usage{Count: -24, BytesIn: -25, BytesOut: -26}}
-	goldenFix = PendingCorrection{Seq: 31, Correction: ledger.Correction{ID: "fix-1", Period: 32, Key: goldenKey,
+	goldenCorrection = PendingCorrection{Seq: 31, Correction: ledger.Correction{ID: "fix-1", Period: 32, Key: goldenKey,
 		Usage: ledger.Usage{Count: -33, BytesIn: -34, BytesOut: -35}, Reason: "counted twice"}}
-	goldenFigures = Stats{Grants: 41, Stale: 42, Rejected: 43, ExportedPeriods: 44, DroppedPeriods: 45, ExportedCorrections: 46,
+	goldenStats = Stats{Grants: 41, Stale: 42, Rejected: 43, ExportedPeriods: 44, DroppedPeriods: 45, ExportedCorrections: 46,
 		EndpointLists: 47}
 )
 
-// goldenEntry holds an entry of the log to its file, both ways.
-func goldenEntry[C any](t *testing.T, name string, want C, raw []byte) {
+// checkGoldenEntry holds an entry of the log to its file, both ways.
+func checkGoldenEntry[C any](t *testing.T, name string, want C, raw []byte) {
 	t.Helper()
 	goldenfile.CheckFieldsSet(t, name, want)
 	var got C
@@ -31,7 +31,7 @@
 		return Result{Status: StatusAccepted}
 	}
 	held := goldenfile.CheckBytes(t, name, raw)
-	result := decodeAndApply(newLog(t).machine, held, read)
+	result := decodeAndApply(newTestLog(t).machine, held, read)
 	goldenfile.CheckDecoded(t, name, result, Result{Status: StatusAccepted})
 	goldenfile.CheckDecoded(t, name, got, want)
 }
@@ -40,29 +40,29 @@
 // two that change places show.
 func TestGoldenEntriesAreReadAndWrittenByteForByte(t *testing.T) {
 	intent := ExportIntent{Member: "odori-1", Token: 300, Period: 70_000}
-	goldenEntry(t, "intent.bin", intent, intent.Encode())
+	checkGoldenEntry(t, "intent.bin", intent, intent.Encode())
 	done := ExportDone{Member: "odori-1", Token: 301, Period: 70_001}
-	goldenEntry(t, "done.bin", done, done.Encode())
+	checkGoldenEntry(t, "done.bin", done, done.Encode())
 	settled := CorrectionsExported{Member: "odori-1", Token: 302, UpToSeq: 70_002}
-	goldenEntry(t, "settled.bin", settled, settled.Encode())
+	checkGoldenEntry(t, "settled.bin", settled, settled.Encode())
 	list := PublishEndpointList{Member: "odori-1", Token: 303, DiscoveryIndex: 70_003, Raw: []byte(`{"index":70003}`)}
-	goldenEntry(t, "list.bin", list, list.Encode())
+	checkGoldenEntry(t, "list.bin", list, list.Encode())
 
 	for name, op := range map[string]lease.Op{"take.bin": lease.Acquire, "renew.bin": lease.Renew,
 		"release.bin": lease.Release} {
 		c := lease.Command{Op: op, Role: FleetRole, Member: "odori-1", Expected: goldenGrant}
-		goldenEntry(t, name, c, EncodeLease(c))
+		checkGoldenEntry(t, name, c, EncodeLease(c))
 	}
 }
 
-// goldenList is the list of list.bin as the machine holds it after it was applied at an index.
-func goldenList(index uint64) endpointState {
-	return endpointState{Token: 303, Version: index, Changed: index, Index: 70_003,
+// goldenEndpointState is the list of list.bin as the machine holds it after it was applied at an index.
+func goldenEndpointState(index uint64) endpointState {
+	return endpointState{Token: 303, Version: index, ChangedVersion: index, DiscoveryIndex: 70_003,
 		Raw: []byte(`{"index":70003}`)}
 }
 
 // What the entries do: the byte before each says which of them it is.
-func TestGoldenEntriesAreAppliedAsTheirKind(t *testing.T) {
+func TestGoldenEntriesAreAppliedByKind(t *testing.T) {
 	held := func(name string) []byte {
 		raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 		if err != nil {
@@ -70,7 +70,7 @@
 		}
 		return raw
 	}
-	m := newLog(t).machine
+	m := newTestLog(t).machine
 	grants := map[string]lease.Grant{FleetRole: goldenGrant}
 	m.leases.Restore(grants)
 	goldenfile.CheckDecoded(t, "renew.bin", m.Apply(50, held("renew.bin")),
@@ -96,24 +96,24 @@
 		Status: StatusRejected, Reason: "there is no correction 70002"}))
 	own(303)
 	goldenfile.CheckDecoded(t, "list.bin", m.Apply(56, held("list.bin")), any(Result{Status: StatusAccepted}))
-	goldenfile.CheckDecoded(t, "list.bin", m.state.Endpoints, goldenList(56))
+	goldenfile.CheckDecoded(t, "list.bin", m.state.Endpoints, goldenEndpointState(56))
 }
 
 func TestGoldenSnapshotIsReadAndWrittenByteForByte(t *testing.T) {
-	want := newLog(t).machine
+	want := newTestLog(t).machine
 	want.Ledger.Apply(60, (&ledger.Batch{Member: "x", Incarnation: 1, Seq: 1, Usage: []ledger.KeyUsage{{
 		Key: goldenKey, Usage: ledger.Usage{Count: 2, BytesIn: 3, BytesOut: 4}}}}).Encode())
 	want.appliedIndex = 61
 	want.leases.Restore(map[string]lease.Grant{FleetRole: goldenGrant,
 		"another": {Holder: "susukino-2", Token: 14, Renewals: 15}})
-	want.state = state{ExportStarted: true, Exported: 51, Open: &openExport{Period: 52, Token: 53,
+	want.state = state{ExportStarted: true, LastExported: 51, OpenExport: &openExport{Period: 52, Token: 53,
 		Rows: []ledger.Row{goldenRow}},
-		Corrections: []PendingCorrection{goldenFix}, CorrectionSeq: 54, Endpoints: goldenList(55),
-		Stats: goldenFigures}
-	want.state.Endpoints.Changed = 57
+		PendingCorrections: []PendingCorrection{goldenCorrection}, LastCorrectionSeq: 54, Endpoints: goldenEndpointState(55),
+		Stats: goldenStats}
+	want.state.Endpoints.ChangedVersion = 57
 	goldenfile.CheckFieldsSet(t, "state", want.state)
 	held := goldenfile.CheckBytes(t, "snapshot.bin", want.Snapshot())
-	got := newLog(t).machine
+	got := newTestLog(t).machine
 	if err := got.Restore(held); err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	goldenfile.CheckBytes(t, "snapshot.bin", got.Snapshot())
 
 	// A snapshot from before there were chores is the ledger's alone.
-	old := newLog(t).machine
+	old := newTestLog(t).machine
 	ledgerSnapshot := goldenfile.CheckBytes(t, "snapshot-of-the-ledger.bin", want.Ledger.Snapshot())
 	if err := old.Restore(ledgerSnapshot); err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 	goldenfile.CheckDecoded(t, "snapshot-of-the-ledger.bin", old.appliedIndex, uint64(60))
 }
 
-func TestGoldenAnswersAndQueriesAreReadAndWrittenByteForByte(t *testing.T) {
+func TestGoldenQueriesAndRepliesAreReadAndWrittenByteForByte(t *testing.T) {
 	q := Query{Kind: QueryEndpoints, ChangedAfter: 61, Query: ledger.Query{Tenant: "ramen-kita", Period: 62}}
 	goldenfile.CheckJSON(t, "query.json", q)
 	goldenfile.CheckBytes(t, "query.json", q.Encode())
@@ -144,7 +144,7 @@
 	list := EndpointView{Version: 71, ChangedVersion: 72, Token: 73, DiscoveryIndex: 74, Raw: []byte(`{"index":74}`)}
 	goldenfile.CheckJSON(t, "list.json", list)
 	goldenfile.CheckJSON(t, "view.json", View{Grant: goldenGrant, LastExported: 81, IntentPeriod: 82, IntentToken: 83,
-		FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenFigures})
+		FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenStats})
 	goldenfile.CheckJSON(t, "statement.json", PendingExport{Grant: goldenGrant, DuePeriod: 91, IntentPeriod: 92,
-		IntentToken: 93, Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenFix}})
+		IntentToken: 93, Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenCorrection}})
 }
--- a/internal/cluster/groupstate/machine.go
+++ b/internal/cluster/groupstate/machine.go
@@ -68,13 +68,13 @@
 // state is what a Machine has beside the ledger and the leases. It is stored in snapshots, see package
 // logcodec.
 type state struct {
-	ExportStarted bool                // there was an ExportIntent: from then on periods wait for their export
-	Exported      uint64              // the last period exported, 0 for none
-	Open          *openExport         // nil for none
-	Corrections   []PendingCorrection // by Seq
-	CorrectionSeq uint64              // of the last correction added
-	Endpoints     endpointState
-	Stats         Stats
+	ExportStarted      bool                // there was an ExportIntent: from then on periods wait for their export
+	LastExported       uint64              // the last period exported, 0 for none
+	OpenExport         *openExport         // nil for none
+	PendingCorrections []PendingCorrection // by Seq
+	LastCorrectionSeq  uint64              // of the last correction added
+	Endpoints          endpointState
+	Stats              Stats
 }
 
 // New returns a machine with an empty state, or an error if the settings are unsound.
@@ -100,16 +100,16 @@
 	case kindLease:
 		return m.applyLease(index, data)
 	case kindExportIntent:
-		return decodeAndApply(m, data, m.applyIntent)
+		return decodeAndApply(m, data, m.applyExportIntent)
 	case kindExportDone:
-		return decodeAndApply(m, data, m.applyDone)
-	case kindCorrectionsSent:
-		return decodeAndApply(m, data, m.applyCorrectionsSent)
-	case kindEndpointList:
-		return decodeAndApply(m, data, m.applyEndpointList)
+		return decodeAndApply(m, data, m.applyExportDone)
+	case kindCorrectionsExported:
+		return decodeAndApply(m, data, m.applyCorrectionsExported)
+	case kindPublishEndpointList:
+		return decodeAndApply(m, data, m.applyPublishEndpointList)
 	}
-	if correction, ok := ledger.DecodeCorrection(data); ok && correction.Period <= m.lastSealed() {
-		return m.applyCorrection(index, data, correction)
+	if correction, ok := ledger.DecodeCorrection(data); ok && correction.Period <= m.lastFrozenPeriod() {
+		return m.applyLateCorrection(index, data, correction)
 	}
 	return m.Ledger.Apply(index, data)
 }
--- a/internal/cluster/groupstate/machine_test.go
+++ b/internal/cluster/groupstate/machine_test.go
@@ -20,7 +20,7 @@
 	index   uint64
 }
 
-func newLog(tb testing.TB) *testLog {
+func newTestLog(tb testing.TB) *testLog {
 	tb.Helper()
 	m, err := New(testSettings)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return r.Grant.Token
 }
 
-// status applies a command of a role and returns its status.
-func (l *testLog) status(b []byte) string { return l.apply(b).(Result).Status }
+// applyStatus applies a command of a role and returns its applyStatus.
+func (l *testLog) applyStatus(b []byte) string { return l.apply(b).(Result).Status }
 
 // addPeriod counts n answers of a tenant and closes the period.
 func (l *testLog) addPeriod(n int64) {
@@ -67,7 +67,7 @@
 
 // The same log gives the same state, through a snapshot anywhere on the way; and whatever comes in whatever
 // order, periods are done in their order, each under the grant that stood.
-func TestSameLogGivesTheSameState(t *testing.T) {
+func TestSameLogGivesSameStateAcrossSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		uninterrupted, _ := New(testSettings)
 		restored, _ := New(testSettings)
@@ -87,9 +87,9 @@
 				data = EncodeLease(lease.Command{Op: lease.Op(rapid.IntRange(1, 3).Draw(t, "op")), Role: FleetRole,
 					Member: member, Expected: uninterrupted.leases.Get(FleetRole)})
 			case 3, 4:
-				data = (&ExportIntent{member, token, max(period, uninterrupted.nextDue())}).Encode()
+				data = (&ExportIntent{member, token, max(period, uninterrupted.nextDuePeriod())}).Encode()
 			case 5:
-				data = (&ExportDone{member, token, max(period, uninterrupted.lastSealed())}).Encode()
+				data = (&ExportDone{member, token, max(period, uninterrupted.lastFrozenPeriod())}).Encode()
 			case 6:
 				data = (&PublishEndpointList{member, token, int64(period), []byte("{}")}).Encode()
 			case 7:
@@ -101,7 +101,7 @@
 			grant := uninterrupted.leases.Get(FleetRole)
 			uninterrupted.Apply(uint64(i+1), data)
 			restored.Apply(uint64(i+1), data)
-			if now := uninterrupted.state.Exported; now != exported {
+			if now := uninterrupted.state.LastExported; now != exported {
 				if now < exported || grant.Holder == "" {
 					t.Fatalf("period %d is done after %d, the grant was %+v", now, exported, grant)
 				}
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -96,12 +96,12 @@
 
 // pendingExport returns what the owner has to do next. It aliases the state.
 func (m *Machine) pendingExport() PendingExport {
-	corrections := m.state.Corrections[:min(len(m.state.Corrections), maxCorrectionsPerExport)]
+	corrections := m.state.PendingCorrections[:min(len(m.state.PendingCorrections), maxCorrectionsPerExport)]
 	next := PendingExport{Grant: m.grant(), Corrections: corrections}
-	if open := m.state.Open; open != nil {
+	if open := m.state.OpenExport; open != nil {
 		next.IntentPeriod, next.IntentToken, next.Rows = open.Period, open.Token, open.Rows
 	} else {
-		next.DuePeriod = m.nextDue()
+		next.DuePeriod = m.nextDuePeriod()
 	}
 	return next
 }
@@ -110,17 +110,17 @@
 func (m *Machine) View() View {
 	view := View{
 		Grant:              m.grant(),
-		LastExported:       m.state.Exported,
+		LastExported:       m.state.LastExported,
 		FinalPeriod:        m.Ledger.FinalPeriod(),
 		OpenPeriod:         m.Ledger.OpenPeriod(),
-		PendingCorrections: len(m.state.Corrections),
+		PendingCorrections: len(m.state.PendingCorrections),
 		Endpoints:          m.endpointView(),
 		Stats:              m.state.Stats,
 	}
-	if open := m.state.Open; open != nil {
+	if open := m.state.OpenExport; open != nil {
 		view.IntentPeriod, view.IntentToken = open.Period, open.Token
 	}
-	if first := m.nextUnexported(); view.FinalPeriod >= first {
+	if first := m.nextUnexportedPeriod(); view.FinalPeriod >= first {
 		view.Backlog = int(view.FinalPeriod - first + 1)
 	}
 	return view
--- a/internal/cluster/groupstate/snapshot.go
+++ b/internal/cluster/groupstate/snapshot.go
@@ -43,7 +43,7 @@
 		return errors.New("an empty snapshot")
 	}
 	if data[0] != kindSnapshot {
-		return m.restoreLedgerAlone(data)
+		return m.restoreLedgerOnly(data)
 	}
 	var stored snapshot
 	if err := logcodec.Decode(data[1:], &stored); err != nil {
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// restoreLedgerAlone restores a snapshot from before there were leases and exports.
-func (m *Machine) restoreLedgerAlone(data []byte) error {
+// restoreLedgerOnly restores a snapshot from before there were leases and exports.
+func (m *Machine) restoreLedgerOnly(data []byte) error {
 	if err := m.Ledger.Restore(data); err != nil {
 		return err
 	}
--- a/internal/cluster/groupstate/snapshot_test.go
+++ b/internal/cluster/groupstate/snapshot_test.go
@@ -9,7 +9,7 @@
 // A snapshot of the ledger alone, from before there were leases and exports, is restored; a truncated or
 // newer one is not, and changes nothing.
 func TestOnlyReadableSnapshotsAreRestored(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	l.addPeriod(5)
 	l.acquire("a")
 	old, _ := New(testSettings)
