--- a/internal/cluster/leaseholder/calls.go
+++ b/internal/cluster/leaseholder/calls.go
@@ -77,12 +77,12 @@
 }
 
 // query reads from the store within a timeout and decodes the answer into what into points to.
-func (r *Runner) query(timeout time.Duration, question groupstate.Query, into any) error {
+func (r *Runner) query(timeout time.Duration, query groupstate.Query, target any) error {
 	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
-	raw, err := r.opts.Store.Read(ctx, question.Encode())
+	raw, err := r.opts.Store.Read(ctx, query.Encode())
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(raw, into)
+	return json.Unmarshal(raw, target)
 }
--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -49,14 +49,14 @@
 
 	runner *Runner
 
-	mu       sync.Mutex
-	follower *groupstate.Follower
-	feed     Feed
-	feedSet  bool      // Source.Feed was called with feed
-	lastRun  time.Time // when the list was last published or confirmed here, zero for never
-	problem  string    // error of the last attempt to publish, "" if it succeeded
-
-	last           publication // only the publisher uses it
+	mu        sync.Mutex
+	follower  *groupstate.Follower
+	feed      Feed
+	feedSet   bool      // Source.Feed was called with feed
+	lastRun   time.Time // when the list was last published or confirmed here, zero for never
+	lastError string    // error of the last attempt to publish, "" if it succeeded
+
+	lastPublished  publication // only the publisher uses it
 	appliedVersion uint64      // EndpointView.Changed of the list last applied; only the follower uses it
 }
 
@@ -126,18 +126,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.problem = err.Error()
+		s.lastError = err.Error()
 		return
 	}
-	s.problem, s.lastRun = "", time.Now()
+	s.lastError, s.lastRun = "", time.Now()
 }
 
 // publish writes the list to the store if it has changed, and otherwise confirms it once a quarter of MaxAge
 // has passed.
 func (s *EndpointSync) publish(token uint64) error {
 	index := s.Source.Index()
-	unchanged := token == s.last.token && index == s.last.index
-	if unchanged && time.Since(s.last.startedAt) < s.MaxAge/4 {
+	unchanged := token == s.lastPublished.token && index == s.lastPublished.index
+	if unchanged && time.Since(s.lastPublished.startedAt) < s.MaxAge/4 {
 		return nil
 	}
 	list, err := s.Source.Export()
@@ -145,15 +145,15 @@
 		return err
 	}
 	cmd := &groupstate.PublishEndpointList{Member: s.runner.opts.Name, Token: token, DiscoveryIndex: index}
-	if !unchanged || !bytes.Equal(list, s.last.list) {
+	if !unchanged || !bytes.Equal(list, s.lastPublished.list) {
 		cmd.Raw = list
 	}
 	startedAt := time.Now()
 	if err := s.runner.commit(token, cmd.Encode()); err != nil {
-		s.last.token = 0 // the command may be in the log or not: publish the full list next time
+		s.lastPublished.token = 0 // the command may be in the log or not: publish the full list next time
 		return err
 	}
-	s.last = publication{token: token, index: index, list: list, startedAt: startedAt}
+	s.lastPublished = publication{token: token, index: index, list: list, startedAt: startedAt}
 	return nil
 }
 
@@ -167,7 +167,7 @@
 			return
 		case <-tick.C:
 		}
-		s.apply(s.readPublished())
+		s.applyPublished(s.readPublished())
 		s.updateFeed()
 	}
 }
@@ -187,8 +187,8 @@
 	return view
 }
 
-// apply takes over a published list that is new and not behind the one this member has.
-func (s *EndpointSync) apply(view groupstate.EndpointView) {
+// applyPublished takes over a published list that is new and not behind the one this member has.
+func (s *EndpointSync) applyPublished(view groupstate.EndpointView) {
 	if view.Version == 0 {
 		return
 	}
--- a/internal/cluster/leaseholder/exactly_once_test.go
+++ b/internal/cluster/leaseholder/exactly_once_test.go
@@ -38,88 +38,88 @@
 	pointApplied   = "applied"   // the group has applied it and the holder does not know
 )
 
-// answerLease are the settings of the lease; the group has no elections here.
-var answerLease = lease.Settings{TTL: 600 * time.Millisecond, Drift: 0.05,
+// modelLease are the settings of the lease; the group has no elections here.
+var modelLease = lease.Settings{TTL: 600 * time.Millisecond, Drift: 0.05,
 	ElectionTimeout: 300 * time.Millisecond}
 
 // The intervals share no instant with each other nor with the checks of the lease, so that no two goroutines
 // of a process pass a point at once.
 const (
-	answerInterval = 9013 * time.Microsecond
-	flushInterval  = 53017 * time.Microsecond
-	periodLength   = 200 * time.Millisecond
-	trafficTime    = 700 * time.Millisecond
-	restartDelay   = 300 * time.Millisecond
-	drainLimit     = time.Minute // of virtual time, until the sink has all
-	restoreLimit   = time.Minute // of virtual time, until a fault is over
+	answerInterval  = 9013 * time.Microsecond
+	flushInterval   = 53017 * time.Microsecond
+	periodLength    = 200 * time.Millisecond
+	trafficDuration = 700 * time.Millisecond
+	restartDelay    = 300 * time.Millisecond
+	drainTimeout    = time.Minute // of virtual time, until the sink has all
+	faultTimeout    = time.Minute // of virtual time, until a fault is over
 )
 
 var errProcessEnded = errors.New("the process has ended")
 
-// answerFault is what happens to the process that reaches the point.
-type answerFault string
+// processFault is what happens to the process that reaches the point.
+type processFault string
 
 const (
-	faultNone   answerFault = "none"
-	faultKill   answerFault = "kill"   // SIGKILL, and a start with the files that are left
-	faultFreeze answerFault = "freeze" // SIGSTOP, and SIGCONT three leases later
-	faultTerm   answerFault = "term"   // SIGTERM, and a start once the process has ended
+	faultNone   processFault = "none"
+	faultKill   processFault = "kill"   // SIGKILL, and a start with the files that are left
+	faultFreeze processFault = "freeze" // SIGSTOP, and SIGCONT three leases later
+	faultTerm   processFault = "term"   // SIGTERM, and a start once the process has ended
 )
 
-// answerWorld is the group's state, the sink, and the processes before them. A process that passes the point
+// exportModel is the group's state, the sink, and the processes before them. A process that passes the point
 // with the number of the fault gets the fault.
-type answerWorld struct {
-	t       *testing.T
-	store   *memoryStore
-	sink    *proxystandin.Sink
-	fault   answerFault
-	at      int // number of the point, from 1 on
-	ended   chan struct{}
-	faulted chan struct{}
-
-	mu      sync.Mutex
-	passed  []string // the points
-	hit     string   // what was reached as the fault came
-	told    int64    // answers that clients got
-	dropped int64    // of them: not in the outbox of the process that was killed
-	members []*answerMember
+type exportModel struct {
+	t            *testing.T
+	store        *memoryStore
+	sink         *proxystandin.Sink
+	fault        processFault
+	faultAt      int // number of the point, from 1 on
+	trafficEnded chan struct{}
+	faulted      chan struct{}
+
+	mu           sync.Mutex
+	passedPoints []string // the points
+	faultPoint   string   // what was reached as the fault came
+	answersGiven int64    // answers that clients got
+	answersLost  int64    // of them: not in the outbox of the process that was killed
+	members      []*modelMember
 }
 
-// answerMember is a process and those that follow it under its name.
-type answerMember struct {
-	world   *answerWorld
+// modelMember is a process and those that follow it under its name.
+type modelMember struct {
+	model   *exportModel
 	name    string
-	process *answerProcess
+	process *modelProcess
 }
 
-// answerProcess is one process of a member.
-type answerProcess struct {
-	member   *answerMember
+// modelProcess is one process of a member.
+type modelProcess struct {
+	member   *modelMember
 	dir      string
 	recorder *pending.Recorder
 	runner   *Runner
 
 	// The world's lock guards these.
-	gate   chan struct{} // closed once a process that was frozen or killed goes on; nil for one that runs
-	killed bool
-	ending bool  // after SIGTERM: no client reaches it any more
-	unseen int64 // answered and not counted
+	resumed     chan struct{} // closed once a process that was frozen or killed goes on; nil for one that runs
+	killed      bool
+	terminating bool  // after SIGTERM: no client reaches it any more
+	uncounted   int64 // answered and not counted
 }
 
 // start starts the next process of a member with the files in dir.
-func (m *answerMember) start(dir string) {
-	t := m.world.t
+func (m *modelMember) start(dir string) {
+	t := m.model.t
 	t.Helper()
-	p := &answerProcess{member: m, dir: dir}
-	store := answerStore{memberStore{m.world.store, m.name}, p}
+	p := &modelProcess{member: m, dir: dir}
+	store := modelStore{memberStore{m.model.store, m.name}, p}
 	var err error
 	p.recorder, err = pending.Open(pending.Options{Member: m.name, Dir: dir, FlushInterval: flushInterval,
 		MaxQueuedBytes: 1 << 20, Faults: p, Log: slog.New(slog.DiscardHandler), Propose: p.proposeBatch})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.runner, err = New(Options{Name: m.name, Lease: answerLease, Store: store,
-		Export: &Exporter{SinkAddress: "sink", CallTimeout: answerLease.TTL, BatchSize: 1},
+	p.runner, err = New(Options{Name: m.name, Lease: modelLease, Store: store,
+		Export: &Exporter{SinkAddress: "sink", CallTimeout: modelLease.TTL, BatchSize: 1},
 		Log:    slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
@@ -127,33 +127,33 @@
 	p.runner.opts.Export.client.Transport = p
 	p.recorder.Run()
 	p.runner.Run()
-	m.world.mu.Lock()
-	defer m.world.mu.Unlock()
+	m.model.mu.Lock()
+	defer m.model.mu.Unlock()
 	m.process = p
 }
 
-// present returns the member's latest process.
-func (m *answerMember) present() *answerProcess {
-	m.world.mu.Lock()
-	defer m.world.mu.Unlock()
+// currentProcess returns the member's latest process.
+func (m *modelMember) currentProcess() *modelProcess {
+	m.model.mu.Lock()
+	defer m.model.mu.Unlock()
 	return m.process
 }
 
-// pass passes a point. It returns an error once the process is killed, and at the end of the test at the
+// passPoint passes a point. It returns an error once the process is killed, and at the end of the test at the
 // latest; while the process is frozen it waits.
-func (p *answerProcess) pass(point string) error {
-	w := p.member.world
+func (p *modelProcess) passPoint(point string) error {
+	w := p.member.model
 	w.mu.Lock()
-	ended := p.awaitGateLocked(w)
+	ended := p.awaitRunningLocked(w)
 	if ended {
 		w.mu.Unlock()
 		return errProcessEnded
 	}
-	w.passed = append(w.passed, point)
-	due := len(w.passed) == w.at && w.fault != faultNone
+	w.passedPoints = append(w.passedPoints, point)
+	due := len(w.passedPoints) == w.faultAt && w.fault != faultNone
 	if due {
-		w.hit = point
-		p.injectLocked(w)
+		w.faultPoint = point
+		p.injectFaultLocked(w)
 	}
 	w.mu.Unlock()
 	if !due {
@@ -162,42 +162,42 @@
 	close(w.faulted)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if p.awaitGateLocked(w) {
+	if p.awaitRunningLocked(w) {
 		return errProcessEnded
 	}
 	return nil
 }
 
-// awaitGateLocked waits until the process runs; true if it is killed. It releases the world's lock meanwhile.
-func (p *answerProcess) awaitGateLocked(w *answerWorld) (ended bool) {
-	for p.gate != nil {
-		gate := p.gate
+// awaitRunningLocked waits until the process runs; true if it is killed. It releases the world's lock meanwhile.
+func (p *modelProcess) awaitRunningLocked(w *exportModel) (ended bool) {
+	for p.resumed != nil {
+		gate := p.resumed
 		w.mu.Unlock()
 		<-gate
 		w.mu.Lock()
 		if p.killed {
 			return true
 		}
-		if p.gate == gate {
-			p.gate = nil
+		if p.resumed == gate {
+			p.resumed = nil
 		}
 	}
 	return false
 }
 
-// injectLocked stops the process. Of one that is killed it keeps the files, and how many answers are in no
+// injectFaultLocked stops the process. Of one that is killed it keeps the files, and how many answers are in no
 // file.
-func (p *answerProcess) injectLocked(w *answerWorld) {
+func (p *modelProcess) injectFaultLocked(w *exportModel) {
 	if w.fault == faultTerm {
-		p.ending = true
+		p.terminating = true
 		return
 	}
-	p.gate = make(chan struct{})
+	p.resumed = make(chan struct{})
 	if w.fault != faultKill {
 		return
 	}
 	p.killed = true
-	w.dropped = p.recorder.Stats().InMemory + p.unseen
+	w.answersLost = p.recorder.Stats().InMemory + p.uncounted
 	dir := w.t.TempDir()
 	raw, err := os.ReadFile(filepath.Join(p.dir, "outbox.db"))
 	if err == nil {
@@ -210,25 +210,25 @@
 }
 
 // Sync is called before each write of the outbox.
-func (p *answerProcess) Sync() error { return p.pass(pointSealed) }
+func (p *modelProcess) Sync() error { return p.passPoint(pointSealed) }
 
 // proposeBatch proposes a batch of counts.
-func (p *answerProcess) proposeBatch(_ context.Context, batch []byte) (ledger.Result, error) {
-	if err := p.pass(pointStored); err != nil {
+func (p *modelProcess) proposeBatch(_ context.Context, batch []byte) (ledger.Result, error) {
+	if err := p.passPoint(pointStored); err != nil {
 		return ledger.Result{}, err
 	}
-	raw := p.member.world.store.apply(batch)
-	if err := p.pass(pointCommitted); err != nil {
+	raw := p.member.model.store.apply(batch)
+	if err := p.passPoint(pointCommitted); err != nil {
 		return ledger.Result{}, err
 	}
 	return pending.DecodeResult(raw, nil)
 }
 
 // RoundTrip calls the sink.
-func (p *answerProcess) RoundTrip(request *http.Request) (*http.Response, error) {
+func (p *modelProcess) RoundTrip(request *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(request.Body)
 	if err == nil {
-		err = p.pass(pointSending)
+		err = p.passPoint(pointSending)
 	}
 	if err != nil {
 		return nil, err
@@ -237,129 +237,129 @@
 	response := httptest.NewRecorder()
 	sent := httptest.NewRequest(request.Method, request.URL.String(), bytes.NewReader(body))
 	sent.Header = request.Header
-	p.member.world.sink.ServeHTTP(response, sent)
-	if err := p.pass(pointSent); err != nil {
+	p.member.model.sink.ServeHTTP(response, sent)
+	if err := p.passPoint(pointSent); err != nil {
 		return nil, err
 	}
 	return response.Result(), nil
 }
 
-// answerStore is a process's way to the group's state.
-type answerStore struct {
+// modelStore is a process's way to the group's state.
+type modelStore struct {
 	memberStore
-	process *answerProcess
+	process *modelProcess
 }
 
-func (s answerStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
-	if err := s.process.pass(pointProposing); err != nil {
+func (s modelStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
+	if err := s.process.passPoint(pointProposing); err != nil {
 		return nil, err
 	}
 	raw, err := s.memberStore.Propose(ctx, command)
-	if passErr := s.process.pass(pointApplied); passErr != nil {
+	if passErr := s.process.passPoint(pointApplied); passErr != nil {
 		return nil, passErr
 	}
 	return raw, err
 }
 
-func (s answerStore) Read(ctx context.Context, query []byte) (json.RawMessage, error) {
-	if err := s.process.wait(); err != nil {
+func (s modelStore) Read(ctx context.Context, query []byte) (json.RawMessage, error) {
+	if err := s.process.awaitRunning(); err != nil {
 		return nil, err
 	}
 	return s.memberStore.Read(ctx, query)
 }
 
-func (s answerStore) Peek(query []byte) (any, bool) {
-	if s.process.wait() != nil {
+func (s modelStore) Peek(query []byte) (any, bool) {
+	if s.process.awaitRunning() != nil {
 		return nil, false
 	}
 	return s.memberStore.Peek(query)
 }
 
-// wait waits while the process is frozen, at no point that is numbered.
-func (p *answerProcess) wait() error {
-	w := p.member.world
+// awaitRunning waits while the process is frozen, at no point that is numbered.
+func (p *modelProcess) awaitRunning() error {
+	w := p.member.model
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if p.awaitGateLocked(w) {
+	if p.awaitRunningLocked(w) {
 		return errProcessEnded
 	}
 	return nil
 }
 
-// answer gives a client one answer.
-func (m *answerMember) answer(number int) {
-	w, p := m.world, m.present()
-	if p.wait() != nil {
+// answerClient gives a client one answerClient.
+func (m *modelMember) answerClient(number int) {
+	w, p := m.model, m.currentProcess()
+	if p.awaitRunning() != nil {
 		return // the client reaches nobody
 	}
 	w.mu.Lock()
-	if p.ending {
+	if p.terminating {
 		w.mu.Unlock()
 		return
 	}
-	w.told++
-	p.unseen++
+	w.answersGiven++
+	p.uncounted++
 	w.mu.Unlock()
-	if p.pass(pointAnswered) != nil {
+	if p.passPoint(pointAnswered) != nil {
 		return
 	}
 	key := ledger.Key{Tenant: []string{"ramen-kita", "soup-curry-chuo"}[number%2], Class: "zone-lookup",
 		Answer: "passed"}
 	w.mu.Lock()
-	p.unseen--
+	p.uncounted--
 	p.recorder.Count(key, uint64(number+1), 1, 2)
 	w.mu.Unlock()
-	_ = p.pass(pointCounted) // one that is killed here has counted
+	_ = p.passPoint(pointCounted) // one that is killed here has counted
 }
 
-// restore ends the fault: a killed process is started again, a frozen one continues.
-func (w *answerWorld) restore() {
+// endFault ends the fault: a killed process is started again, a frozen one continues.
+func (w *exportModel) endFault() {
 	if w.fault == faultNone {
 		return
 	}
 	select {
 	case <-w.faulted:
-	case <-time.After(restoreLimit):
+	case <-time.After(faultTimeout):
 		return // there are fewer points than that
 	}
 	for _, m := range w.members {
-		stopped := m.present()
+		stopped := m.currentProcess()
 		w.mu.Lock()
-		gate, killed, ending, dir := stopped.gate, stopped.killed, stopped.ending, stopped.dir
+		gate, killed, ending, dir := stopped.resumed, stopped.killed, stopped.terminating, stopped.dir
 		w.mu.Unlock()
 		switch {
 		case ending:
-			stopped.awaitAnswers()
-			stopped.end(w.t)
+			stopped.awaitCounted()
+			stopped.shutDown(w.t)
 			m.start(dir)
 		case gate == nil:
 		case killed:
 			time.Sleep(restartDelay)
 			m.start(dir)
 			close(gate)
-			stopped.end(w.t)
+			stopped.shutDown(w.t)
 		default:
-			time.Sleep(faultLeases * answerLease.TTL)
+			time.Sleep(frozenLeases * modelLease.TTL)
 			close(gate)
 		}
 	}
 }
 
-// faultLeases is how many leases a process is frozen.
-const faultLeases = 3
+// frozenLeases is how many leases a process is frozen.
+const frozenLeases = 3
 
-// awaitAnswers waits until the process has counted what it has answered, as the shutdown of a proxy does.
-func (p *answerProcess) awaitAnswers() {
-	w := p.member.world
+// awaitCounted waits until the process has counted what it has answered, as the shutdown of a proxy does.
+func (p *modelProcess) awaitCounted() {
+	w := p.member.model
 	for counted := false; !counted; time.Sleep(time.Millisecond) {
 		w.mu.Lock()
-		counted = p.unseen == 0
+		counted = p.uncounted == 0
 		w.mu.Unlock()
 	}
 }
 
-// end ends a process.
-func (p *answerProcess) end(t *testing.T) {
+// shutDown ends a process.
+func (p *modelProcess) shutDown(t *testing.T) {
 	t.Helper()
 	p.runner.Close()
 	if err := p.recorder.Close(); err != nil {
@@ -368,10 +368,10 @@
 }
 
 // closePeriods closes the ledger's periods until the end.
-func (w *answerWorld) closePeriods() {
+func (w *exportModel) closePeriods() {
 	for {
 		select {
-		case <-w.ended:
+		case <-w.trafficEnded:
 			return
 		case <-time.After(periodLength):
 		}
@@ -383,7 +383,7 @@
 }
 
 // totals returns how many answers the ledger and the sink have.
-func (w *answerWorld) totals() (counted, exported int64) {
+func (w *exportModel) totals() (counted, exported int64) {
 	w.store.mu.Lock()
 	counted = w.store.machine.Ledger.Read(ledger.Query{}).Stats.Answers
 	w.store.mu.Unlock()
@@ -395,88 +395,88 @@
 	return counted, exported
 }
 
-// playAnswers plays the traffic with one fault. It returns the points that were passed until its end, and the
+// runModel plays the traffic with one fault. It returns the points that were passed until its end, and the
 // one at which the fault came.
-func playAnswers(t *testing.T, fault answerFault, at int) (points []string, hit string) {
+func runModel(t *testing.T, fault processFault, at int) (points []string, hit string) {
 	t.Helper()
-	w := &answerWorld{t: t, store: newMemoryStore(t), sink: proxystandin.NewSink(), fault: fault, at: at,
-		ended: make(chan struct{}), faulted: make(chan struct{})}
+	w := &exportModel{t: t, store: newMemoryStore(t), sink: proxystandin.NewSink(), fault: fault, faultAt: at,
+		trafficEnded: make(chan struct{}), faulted: make(chan struct{})}
 	for _, name := range []string{"a", "b"} {
-		member := &answerMember{world: w, name: name}
+		member := &modelMember{model: w, name: name}
 		member.start(t.TempDir())
 		w.members = append(w.members, member)
 	}
 	var goroutines sync.WaitGroup
 	goroutines.Go(w.closePeriods)
-	goroutines.Go(w.restore)
+	goroutines.Go(w.endFault)
 	number := 0
-	for started := time.Now(); time.Since(started) < trafficTime; time.Sleep(answerInterval) {
+	for started := time.Now(); time.Since(started) < trafficDuration; time.Sleep(answerInterval) {
 		for _, member := range w.members {
-			member.answer(number)
+			member.answerClient(number)
 			number++
 		}
 	}
 	w.mu.Lock()
-	points, hit = w.passed, w.hit
+	points, hit = w.passedPoints, w.faultPoint
 	w.mu.Unlock()
-	w.check()
-	close(w.ended)
+	w.checkTotals()
+	close(w.trafficEnded)
 	goroutines.Wait()
 	for _, member := range w.members {
-		member.present().end(t)
+		member.currentProcess().shutDown(t)
 	}
 	return points, hit
 }
 
-// check waits until the sink has what it must have: each answer once, but for those that a process which was
+// checkTotals waits until the sink has what it must have: each answer once, but for those that a process which was
 // killed had in no file.
-func (w *answerWorld) check() {
+func (w *exportModel) checkTotals() {
 	w.t.Helper()
 	var counted, exported int64
-	for started := time.Now(); time.Since(started) < drainLimit; time.Sleep(periodLength) {
+	for started := time.Now(); time.Since(started) < drainTimeout; time.Sleep(periodLength) {
 		counted, exported = w.totals()
 		w.mu.Lock()
-		want := w.told - w.dropped
+		want := w.answersGiven - w.answersLost
 		w.mu.Unlock()
-		if counted == want && exported == want && slices.IndexFunc(w.members, (*answerMember).busy) < 0 {
+		if counted == want && exported == want && slices.IndexFunc(w.members, (*modelMember).hasUncommitted) < 0 {
 			break
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if want := w.told - w.dropped; counted != want || exported != want {
+	if want := w.answersGiven - w.answersLost; counted != want || exported != want {
 		w.t.Errorf("%s at point %d (%s): of %d answers, %d of them in no file of a killed process, the ledger "+
-			"counts %d and the sink has %d", w.fault, w.at, w.hit, w.told, w.dropped, counted, exported)
+			"counts %d and the sink has %d", w.fault, w.faultAt, w.faultPoint, w.answersGiven, w.answersLost, counted, exported)
 	}
 	if _, _, err := w.sink.Audit(); err != nil {
-		w.t.Errorf("%s at point %d (%s): %v", w.fault, w.at, w.hit, err)
+		w.t.Errorf("%s at point %d (%s): %v", w.fault, w.faultAt, w.faultPoint, err)
 	}
 }
 
-// busy reports whether the member has counts that are not committed.
-func (m *answerMember) busy() bool {
-	stats := m.present().recorder.Stats()
+// hasUncommitted reports whether the member has counts that are not committed.
+func (m *modelMember) hasUncommitted() bool {
+	stats := m.currentProcess().recorder.Stats()
 	return stats.InMemory+stats.Queued > 0
 }
 
-// answersBetweenFaults is how many points of single answers lie between two that get a fault.
-const answersBetweenFaults = 15
+// pointsBetweenFaults is how many points of single answers lie between two that get a fault.
+const pointsBetweenFaults = 15
 
 // Each answer that a client got is in the sink once, whatever happens to a process at whichever point, but
 // for those that a process which is killed has in memory alone; and it has told those as such.
 func TestEachAnswerIsExportedOnce(t *testing.T) {
 	var points []string
-	synctest.Test(t, func(t *testing.T) { points, _ = playAnswers(t, faultNone, 0) })
-	for _, fault := range []answerFault{faultKill, faultFreeze, faultTerm} {
+	synctest.Test(t, func(t *testing.T) { points, _ = runModel(t, faultNone, 0) })
+	for _, fault := range []processFault{faultKill, faultFreeze, faultTerm} {
 		hits := map[string]int{}
 		for i, point := range points {
 			// Most points are those of single answers, and alike.
-			if (point == pointAnswered || point == pointCounted) && i%answersBetweenFaults > 0 {
+			if (point == pointAnswered || point == pointCounted) && i%pointsBetweenFaults > 0 {
 				continue
 			}
 			hit := ""
 			t.Run(fmt.Sprint(fault, " ", i+1), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { _, hit = playAnswers(t, fault, i+1) })
+				synctest.Test(t, func(t *testing.T) { _, hit = runModel(t, fault, i+1) })
 			})
 			hits[hit]++
 		}
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -33,9 +33,9 @@
 	client         http.Client
 	announcedToken uint64 // the sink has seen this token; only run's goroutine uses it
 
-	mu      sync.Mutex
-	lastRun time.Time // when the last run succeeded, zero for never
-	problem string    // error of the last run, "" if it succeeded
+	mu        sync.Mutex
+	lastRun   time.Time // when the last run succeeded, zero for never
+	lastError string    // error of the last run, "" if it succeeded
 }
 
 const (
@@ -92,22 +92,22 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	previous := e.problem
-	e.problem = ""
+	previous := e.lastError
+	e.lastError = ""
 	if err == nil {
 		e.lastRun = time.Now()
 		return
 	}
-	e.problem = err.Error()
+	e.lastError = err.Error()
 	if previous == "" {
-		e.runner.opts.Log.Warn("owner: export failed, will be retried", "sink", e.SinkAddress, "why", e.problem)
+		e.runner.opts.Log.Warn("owner: export failed, will be retried", "sink", e.SinkAddress, "why", e.lastError)
 	}
 }
 
 // exportNext takes the next step of the export under a token; more says that there may be another. The first
 // call under a token carries no entries: from then on the sink rejects what an earlier owner has in flight.
 func (e *Exporter) exportNext(token uint64) (more bool, err error) {
-	if err := e.announce(token); err != nil {
+	if err := e.announceToken(token); err != nil {
 		return false, err
 	}
 	var next groupstate.PendingExport
@@ -143,7 +143,7 @@
 // exportCorrections sends corrections, at least one, and records that the sink has them.
 func (e *Exporter) exportCorrections(token uint64, corrections []groupstate.PendingCorrection) (more bool,
 	err error) {
-	if err := e.sendAll(token, correctionEntries(corrections)); err != nil {
+	if err := e.sendBatches(token, correctionEntries(corrections)); err != nil {
 		return false, fmt.Errorf("corrections: %w", err)
 	}
 	upTo := corrections[len(corrections)-1].Seq
@@ -151,12 +151,12 @@
 	return true, e.runner.commit(token, exported.Encode())
 }
 
-// announce shows a token to the sink unless it has seen it.
-func (e *Exporter) announce(token uint64) error {
+// announceToken shows a token to the sink unless it has seen it.
+func (e *Exporter) announceToken(token uint64) error {
 	if e.announcedToken == token {
 		return nil
 	}
-	if err := e.send(token, nil); err != nil {
+	if err := e.sendBatch(token, nil); err != nil {
 		return err
 	}
 	e.announcedToken = token
@@ -170,20 +170,20 @@
 		e.runner.opts.Log.Info("owner: resuming the export of an earlier owner", "period", next.IntentPeriod,
 			"intent", next.IntentToken, "token", token)
 	}
-	return e.sendAll(token, PeriodEntries(next.IntentPeriod, next.Rows))
+	return e.sendBatches(token, PeriodEntries(next.IntentPeriod, next.Rows))
 }
 
-func (e *Exporter) sendAll(token uint64, entries []Entry) error {
+func (e *Exporter) sendBatches(token uint64, entries []Entry) error {
 	for batch := range slices.Chunk(entries, e.BatchSize) {
-		if err := e.send(token, batch); err != nil {
+		if err := e.sendBatch(token, batch); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// send makes one call to the sink.
-func (e *Exporter) send(token uint64, entries []Entry) error {
+// sendBatch makes one call to the sink.
+func (e *Exporter) sendBatch(token uint64, entries []Entry) error {
 	if entries == nil {
 		entries = []Entry{} // encoded as [], not as null
 	}
--- a/internal/cluster/leaseholder/faults.go
+++ b/internal/cluster/leaseholder/faults.go
@@ -20,8 +20,8 @@
 const BlockedSuffix = ".blocked"
 
 const (
-	// maxBlocked bounds how long a call is blocked.
-	maxBlocked = 30 * time.Second
+	// maxBlockTime bounds how long a call is blocked.
+	maxBlockTime = 30 * time.Second
 	// blockedCheckInterval is how often a call that is blocked looks whether it may go on.
 	blockedCheckInterval = 5 * time.Millisecond
 )
@@ -33,7 +33,7 @@
 		return
 	}
 	_ = os.WriteFile(f.Path+BlockedSuffix, fault, 0o600) // a test that misses the file fails by itself
-	for began := time.Now(); time.Since(began) < maxBlocked; time.Sleep(blockedCheckInterval) {
+	for began := time.Now(); time.Since(began) < maxBlockTime; time.Sleep(blockedCheckInterval) {
 		current, err := os.ReadFile(f.Path)
 		if err != nil || !bytes.Equal(current, fault) {
 			return
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -21,7 +21,7 @@
 	machine     *groupstate.Machine
 	index       uint64
 	partitioned map[string]bool
-	readers     map[string]bool // members whose commands get lost, so that they never own the lease
+	readOnly    map[string]bool // members whose commands get lost, so that they never own the lease
 }
 
 func newMemoryStore(t *testing.T) *memoryStore {
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &memoryStore{machine: m, partitioned: map[string]bool{}, readers: map[string]bool{}}
+	return &memoryStore{machine: m, partitioned: map[string]bool{}, readOnly: map[string]bool{}}
 }
 
 func (s *memoryStore) apply(b []byte) json.RawMessage {
@@ -84,11 +84,11 @@
 	}
 }
 
-// setReader has all commands of a member get lost, while it still reads the store.
-func (s *memoryStore) setReader(name string) {
+// setReadOnly has all commands of a member get lost, while it still reads the store.
+func (s *memoryStore) setReadOnly(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readers[name] = true
+	s.readOnly[name] = true
 }
 
 // memberStore is the store as one member reaches it.
@@ -105,14 +105,14 @@
 	return s.partitioned[s.name]
 }
 
-func (s memberStore) onlyReads() bool {
+func (s memberStore) isReadOnly() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.readers[s.name]
+	return s.readOnly[s.name]
 }
 
 func (s memberStore) Propose(_ context.Context, b []byte) (json.RawMessage, error) {
-	if s.unreachable() || s.onlyReads() {
+	if s.unreachable() || s.isReadOnly() {
 		return nil, errUnreachable
 	}
 	return s.apply(b), nil
@@ -138,11 +138,11 @@
 
 // fakeSource is a member's endpoint list; its watch on discovery is alive while it is asked.
 type fakeSource struct {
-	mu    sync.Mutex
-	feed  Feed
-	index int64
-	raw   string   // the current list
-	taken []string // lists given to Replace
+	mu       sync.Mutex
+	feed     Feed
+	index    int64
+	raw      string   // the current list
+	replaced []string // lists given to Replace
 }
 
 func (s *fakeSource) Feed(f Feed) {
@@ -175,7 +175,7 @@
 func (s *fakeSource) Replace(raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.raw, s.taken = string(raw), append(s.taken, string(raw))
+	s.raw, s.replaced = string(raw), append(s.replaced, string(raw))
 	if err := json.Unmarshal(raw, &s.index); err != nil {
 		panic(err) // the lists of these tests are numbers
 	}
@@ -183,19 +183,19 @@
 func (s *fakeSource) state() (feed Feed, taken []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.feed, s.taken
+	return s.feed, s.replaced
 }
 
-// patience bounds every wait of a test; no verdict depends on how much of it is used.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of a test; no verdict depends on how much of it is used.
+const waitTimeout = 20 * time.Second
 
 var (
 	// shortLease is for tests that wait until a lease ends. It also ends where this process is stalled: a test
 	// that uses it accepts that a member loses the lease and acquires it again.
 	shortLease = lease.Settings{TTL: 200 * time.Millisecond, Drift: 0.05, ElectionTimeout: 50 * time.Millisecond}
-	// steadyLease is for tests in which a member keeps the lease, also where this process is stalled for five
+	// longLease is for tests in which a member keeps the lease, also where this process is stalled for five
 	// seconds: what is left of it after a renewal that is due is more.
-	steadyLease = lease.Settings{TTL: 9 * time.Second, Drift: 0.05, ElectionTimeout: 50 * time.Millisecond}
+	longLease = lease.Settings{TTL: 9 * time.Second, Drift: 0.05, ElectionTimeout: 50 * time.Millisecond}
 )
 
 // startRunner runs a member: with an Exporter if sink is set, with an EndpointSync if list is.
@@ -205,7 +205,7 @@
 	opts := Options{Name: name, Lease: settings, Store: memberStore{s, name},
 		Log: slog.New(slog.DiscardHandler)}
 	if sink != "" {
-		opts.Export = &Exporter{SinkAddress: sink, CallTimeout: patience, BatchSize: 1}
+		opts.Export = &Exporter{SinkAddress: sink, CallTimeout: waitTimeout, BatchSize: 1}
 	}
 	if list != nil {
 		opts.Endpoints = &EndpointSync{Source: list, MaxAge: 400 * time.Millisecond, Jitter: 50 * time.Millisecond,
@@ -224,7 +224,7 @@
 func eventually(t *testing.T, what string, check func() error) {
 	t.Helper()
 	var err error
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for ; time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if err = check(); err == nil {
 			return
@@ -254,7 +254,7 @@
 	lease  ownedLease // the first of the holder
 }
 
-func startExport(t *testing.T, settings lease.Settings) exportSetup {
+func startExportingHolder(t *testing.T, settings lease.Settings) exportSetup {
 	t.Helper()
 	sink, err := proxystandin.StartSink("127.0.0.1:0")
 	if err != nil {
--- a/internal/cluster/leaseholder/maintain.go
+++ b/internal/cluster/leaseholder/maintain.go
@@ -54,7 +54,7 @@
 func (r *Runner) nextProposal() (lease.Command, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.retryFrom) <= r.opts.Lease.TTL/10 {
+	if time.Since(r.backoffStart) <= r.opts.Lease.TTL/10 {
 		return lease.Command{}, false
 	}
 	return r.candidate.NextProposal(r.now())
@@ -72,7 +72,7 @@
 	r.mu.Lock()
 	if err != nil {
 		r.candidate.HandleNoResult()
-		r.retryFrom = time.Now().Add(rand.N(r.opts.Lease.TTL / 20))
+		r.backoffStart = time.Now().Add(rand.N(r.opts.Lease.TTL / 20))
 	} else {
 		r.candidate.HandleResult(r.now(), result)
 		if result.Applied && cmd.Op == lease.Renew {
@@ -112,11 +112,11 @@
 func (r *Runner) recordTransition() transition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change := transition{previous: r.activeToken, grant: r.candidate.Grant()}
+	change := transition{previous: r.reportedToken, grant: r.candidate.Grant()}
 	if r.candidate.Owns(r.now()) {
 		change.token = r.candidate.Token()
 	}
-	r.activeToken = change.token
+	r.reportedToken = change.token
 	switch {
 	case change.token == change.previous:
 	case change.token != 0:
@@ -133,8 +133,8 @@
 func (r *Runner) resign(reason string) {
 	r.mu.Lock()
 	cmd, ok := r.candidate.Resign()
-	token := r.activeToken
-	r.activeToken = 0
+	token := r.reportedToken
+	r.reportedToken = 0
 	if ok {
 		r.stats.Resigned++
 	}
--- a/internal/cluster/leaseholder/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -58,7 +58,7 @@
 	now := r.now()
 	grant := r.candidate.Grant()
 	page.Owns = r.candidate.Owns(now)
-	if page.Owns && r.activeToken == r.candidate.Token() {
+	if page.Owns && r.reportedToken == r.candidate.Token() {
 		page.OwnedForMS = (now - r.acquiredAt).Milliseconds()
 	}
 	page.LeaseRemainingMS = r.candidate.Remaining(now).Milliseconds()
@@ -95,13 +95,13 @@
 func (e *Exporter) roleStatus() RoleStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return RoleStatus{Role: roleExport, SinceLastRunMS: millisSince(e.lastRun), Problem: e.problem}
+	return RoleStatus{Role: roleExport, SinceLastRunMS: millisSince(e.lastRun), Problem: e.lastError}
 }
 
 func (s *EndpointSync) roleStatus() RoleStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return RoleStatus{Role: roleEndpoints, SinceLastRunMS: millisSince(s.lastRun), Problem: s.problem}
+	return RoleStatus{Role: roleEndpoints, SinceLastRunMS: millisSince(s.lastRun), Problem: s.lastError}
 }
 
 func (s *EndpointSync) endpointStatus() EndpointStatus {
--- a/internal/cluster/leaseholder/runner.go
+++ b/internal/cluster/leaseholder/runner.go
@@ -87,12 +87,12 @@
 	opts  Options
 	start time.Time // origin of the candidate's clock
 
-	mu          sync.Mutex
-	candidate   *lease.Candidate
-	activeToken uint64        // token of the lease as last reported, 0 for none
-	acquiredAt  time.Duration // when it was reported, by the candidate's clock
-	stats       Stats
-	retryFrom   time.Time // when the last command of the lease failed, with jitter
+	mu            sync.Mutex
+	candidate     *lease.Candidate
+	reportedToken uint64        // token of the lease as last reported, 0 for none
+	acquiredAt    time.Duration // when it was reported, by the candidate's clock
+	stats         Stats
+	backoffStart  time.Time // when the last command of the lease failed, with jitter
 
 	ctx        context.Context // of all calls; ends with Close
 	cancel     context.CancelFunc
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -16,10 +16,10 @@
 // The next owner resumes an export with the same bytes; corrections of a period that was sent are sent on
 // their own; and a process releases the lease at its end.
 func TestNextOwnerResumesTheExport(t *testing.T) {
-	setup := startExport(t, steadyLease)
+	setup := startExportingHolder(t, longLease)
 	sink, s, a := setup.sink, setup.store, setup.holder
 	s.addPeriod(5)
-	eventually(t, "period 1", func() error { return exported(s, 1) })
+	eventually(t, "period 1", func() error { return checkExported(s, 1) })
 	sink.SetFault(proxystandin.SinkFault{Reset: true}) // the sink stores and a does not hear of it
 	s.addPeriod(7)
 	eventually(t, "period 2 begun", func() error {
@@ -35,8 +35,8 @@
 		t.Fatalf("after its end %+v", v)
 	}
 	sink.SetFault(proxystandin.SinkFault{})
-	b := startRunner(t, s, steadyLease, "b", sink.Address(), nil)
-	eventually(t, "period 2", func() error { return exported(s, 2) })
+	b := startRunner(t, s, longLease, "b", sink.Address(), nil)
+	eventually(t, "period 2", func() error { return checkExported(s, 2) })
 	eventually(t, "the correction", func() error {
 		if _, ok := sink.Entries()["2/correction/late"]; !ok || s.view().PendingCorrections > 0 {
 			return fmt.Errorf("%+v", s.view())
@@ -55,7 +55,7 @@
 	}
 }
 
-func exported(s *memoryStore, period uint64) error {
+func checkExported(s *memoryStore, period uint64) error {
 	if v := s.view(); v.LastExported < period {
 		return fmt.Errorf("%+v", v)
 	}
@@ -64,8 +64,8 @@
 
 // A lease holder that is partitioned from the store stops before its lease has ended: it makes no more calls,
 // and its commands are rejected as stale.
-func TestPartitionedOwnerStopsByItself(t *testing.T) {
-	setup := startExport(t, shortLease)
+func TestPartitionedHolderStopsBeforeItsLeaseEnds(t *testing.T) {
+	setup := startExportingHolder(t, shortLease)
 	sink, s, a, old := setup.sink, setup.store, setup.holder, setup.lease
 	b := startRunner(t, s, shortLease, "b", sink.Address(), nil)
 	s.setPartitioned(true, "a")
@@ -74,8 +74,8 @@
 		t.Error("two own the lease")
 	}
 	s.addPeriod(1)
-	eventually(t, "b exports", func() error { return exported(s, 1) })
-	if err := a.opts.Export.send(old.token, nil); !errors.Is(err, ErrNotOwner) {
+	eventually(t, "b exports", func() error { return checkExported(s, 1) })
+	if err := a.opts.Export.sendBatch(old.token, nil); !errors.Is(err, ErrNotOwner) {
 		t.Errorf("a sends: %v", err)
 	}
 	stale := &groupstate.ExportDone{Member: "a", Token: old.token, Period: 1}
@@ -89,8 +89,8 @@
 	}
 }
 
-func TestSinkResponsesAreCheckedAgainstWhatWasSent(t *testing.T) {
-	exporter := startExport(t, steadyLease).holder.opts.Export
+func TestSinkResponseMustAccountForEveryEntry(t *testing.T) {
+	exporter := startExportingHolder(t, longLease).holder.opts.Export
 	for name, c := range map[string]struct {
 		status int
 		body   string
@@ -120,7 +120,7 @@
 // follow again once there is one.
 func TestMembersFollowTheOwnersEndpointList(t *testing.T) {
 	s := newMemoryStore(t)
-	s.setReader("b") // or it would own the lease where this process is stalled for longer than a lease
+	s.setReadOnly("b") // or it would own the lease where this process is stalled for longer than a lease
 	one, two := &fakeSource{index: 1, raw: "1"}, &fakeSource{}
 	a := startRunner(t, s, shortLease, "a", "", one)
 	awaitLease(t, a)
--- a/internal/cluster/leaseholder/takeover_test.go
+++ b/internal/cluster/leaseholder/takeover_test.go
@@ -18,9 +18,9 @@
 var takeoverLease = lease.Settings{TTL: 600 * time.Millisecond, Drift: 0.05,
 	ElectionTimeout: 300 * time.Millisecond}
 
-// takeoverSum is the longest time from a fault of the lease holder to its successor's lease, by its parts,
+// maxTakeoverTime is the longest time from a fault of the lease holder to its successor's lease, by its parts,
 // where the group commits nothing for leaderless after the fault.
-func takeoverSum(settings lease.Settings, leaderless time.Duration) time.Duration {
+func maxTakeoverTime(settings lease.Settings, leaderless time.Duration) time.Duration {
 	ttl := float64(settings.TTL)
 	// The next leader may commit a renewal that was in flight: the lease lasts from then on.
 	renewed := time.Duration(ttl * (1 + settings.Drift) / (1 - settings.Drift))
@@ -31,22 +31,22 @@
 	return leaderless + max(renewed, repeated) + looks
 }
 
-// outage is the group's state while its leader is unavailable.
-type outage struct {
+// groupOutage is the group's state while its leader is unavailable.
+type groupOutage struct {
 	*memoryStore
-	hangs bool // proposals meet no answer, not an error
-	keeps bool // the next leader commits what was in flight
+	proposalsHang   bool // proposals meet no answer, not an error
+	commitsInFlight bool // the next leader commits what was in flight
 
 	mu       sync.Mutex
-	lasts    bool
-	healed   chan struct{}
+	active   bool
+	ended    chan struct{}
 	inFlight []byte // the holder's renewal
 }
 
 // outageStore is a member's way to the group.
 type outageStore struct {
 	memberStore
-	group  *outage
+	group  *groupOutage
 	holder bool
 }
 
@@ -54,7 +54,7 @@
 
 func (s outageStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
 	s.group.mu.Lock()
-	lasts, healed := s.group.lasts, s.group.healed
+	lasts, healed := s.group.active, s.group.ended
 	if lasts && s.holder {
 		s.group.inFlight = command
 	}
@@ -65,28 +65,28 @@
 	case s.holder:
 		<-healed // it is frozen, or all that it hears is late
 		return nil, errNoLeader
-	case s.group.hangs:
+	case s.group.proposalsHang:
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return nil, errNoLeader
 }
 
-// heal ends the outage.
-func (o *outage) heal() {
+// end ends the outage.
+func (o *groupOutage) end() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.lasts = false
-	if o.keeps && o.inFlight != nil {
+	o.active = false
+	if o.commitsInFlight && o.inFlight != nil {
 		o.apply(o.inFlight)
 	}
 }
 
-// playTakeover has the holder fail after age, with a group that commits nothing for leaderless from then on.
+// measureTakeover has the holder fail after age, with a group that commits nothing for leaderless from then on.
 // It returns how long it took until another member held the lease.
-func playTakeover(t *testing.T, group *outage, age, leaderless time.Duration) time.Duration {
+func measureTakeover(t *testing.T, group *groupOutage, age, leaderless time.Duration) time.Duration {
 	t.Helper()
-	group.memoryStore, group.healed = newMemoryStore(t), make(chan struct{})
+	group.memoryStore, group.ended = newMemoryStore(t), make(chan struct{})
 	var runners []*Runner
 	add := func(name string, holder bool) *Runner {
 		r, err := New(Options{Name: name, Lease: takeoverLease, Log: slog.New(slog.DiscardHandler),
@@ -106,12 +106,12 @@
 	time.Sleep(age)
 
 	group.mu.Lock()
-	group.lasts = true
+	group.active = true
 	group.mu.Unlock()
-	group.setReader("a") // what it proposes from now on is lost, but for the one in flight
+	group.setReadOnly("a") // what it proposes from now on is lost, but for the one in flight
 	began := time.Now()
 	time.Sleep(leaderless)
-	group.heal()
+	group.end()
 	var took time.Duration
 	for took == 0 {
 		for _, r := range others {
@@ -121,7 +121,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	close(group.healed)
+	close(group.ended)
 	for _, r := range runners {
 		r.Close()
 	}
@@ -130,17 +130,17 @@
 
 // A successor holds the lease within the sum of what it has to wait for, whenever the holder fails between
 // two renewals, however long the group has no leader, and whether proposals fail at once or hang meanwhile.
-func TestTakeoverIsBoundedByItsParts(t *testing.T) {
+func TestTakeoverTimeIsBounded(t *testing.T) {
 	renewal := takeoverLease.TTL / 3
 	worst := map[time.Duration]time.Duration{}
 	election := takeoverLease.ElectionTimeout
 	for _, leaderless := range []time.Duration{0, election, 2 * election, 4 * election} {
-		limit := takeoverSum(takeoverLease, leaderless)
+		limit := maxTakeoverTime(takeoverLease, leaderless)
 		for age := time.Duration(0); age < renewal; age += renewal / 10 {
-			for _, group := range []*outage{{}, {hangs: true}, {keeps: true}, {hangs: true, keeps: true}} {
-				t.Run(fmt.Sprint(leaderless, age, group.hangs, group.keeps), func(t *testing.T) {
+			for _, group := range []*groupOutage{{}, {proposalsHang: true}, {commitsInFlight: true}, {proposalsHang: true, commitsInFlight: true}} {
+				t.Run(fmt.Sprint(leaderless, age, group.proposalsHang, group.commitsInFlight), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						took := playTakeover(t, group, age, leaderless)
+						took := measureTakeover(t, group, age, leaderless)
 						if took > limit {
 							t.Errorf("it took %v, the parts are %v", took, limit)
 						}
