--- a/internal/cluster/lease/fence.go
+++ b/internal/cluster/lease/fence.go
@@ -24,14 +24,14 @@
 	return token, nil
 }
 
-// Fence is the state of a receiver of side effects, who calls Admit before each. Its zero value admits any
-// token. It is not safe for concurrent use.
+// Fence checks fencing tokens for a receiver of side effects, which calls Admit before it performs each of
+// them. Its zero value admits any token above 0. It is not safe for concurrent use.
 type Fence struct {
-	HighestToken uint64 // token admitted so far
+	HighestToken uint64 // highest token admitted so far, 0 if none
 }
 
-// Admit records the token of a side effect, or returns an error if the side effect must not happen: a token
-// of 0 (ErrNoToken) or one lower than the highest.
+// Admit records the token of a side effect. It returns an error if the side effect must not be performed: the
+// token is 0 (ErrNoToken) or lower than HighestToken.
 func (f *Fence) Admit(token uint64) error {
 	if token == 0 {
 		return ErrNoToken
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -25,10 +25,10 @@
 
 func TestNewCandidateRequiresMemberAndRole(t *testing.T) {
 	if _, err := NewCandidate(testSettings, "", "x"); err == nil {
-		t.Error("a candidate without a name")
+		t.Error("a candidate without a member name was created")
 	}
 	if _, err := NewCandidate(testSettings, "x", ""); err == nil {
-		t.Error("a candidate without a role")
+		t.Error("a candidate without a role was created")
 	}
 }
 
@@ -41,19 +41,19 @@
 		want    Grant
 		applied bool
 	}{
-		"the first acquires":                    {Grant{}, Command{Op: Acquire, Member: "a"}, 5, a1, true},
-		"the second has not observed the grant": {a1, Command{Op: Acquire, Member: "b"}, 6, a1, false},
-		"another takes over": {a1, Command{Op: Acquire, Member: "b", Expected: a1}, 9,
+		"first acquisition":                   {Grant{}, Command{Op: Acquire, Member: "a"}, 5, a1, true},
+		"proposer has not observed the grant": {a1, Command{Op: Acquire, Member: "b"}, 6, a1, false},
+		"another member takes over": {a1, Command{Op: Acquire, Member: "b", Expected: a1}, 9,
 			Grant{Holder: "b", Token: 9}, true},
 		"a renewal keeps the token": {a1, Command{Op: Renew, Member: "a", Expected: a1}, 7,
 			Grant{Holder: "a", Token: 5, Renewals: 1}, true},
-		"a renewal by another": {a1, Command{Op: Renew, Member: "b", Expected: a1}, 7, a1, false},
+		"a renewal by another member": {a1, Command{Op: Renew, Member: "b", Expected: a1}, 7, a1, false},
 		"a release": {a1, Command{Op: Release, Member: "a", Expected: a1}, 7,
 			Grant{Token: 5, Renewals: 1}, true},
-		"a release by another": {a1, Command{Op: Release, Member: "b", Expected: a1}, 7, a1, false},
-		"no member":            {a1, Command{Op: Acquire, Expected: a1}, 7, a1, false},
-		"an unknown operation": {a1, Command{Op: 9, Member: "a", Expected: a1}, 7, a1, false},
-		"an index of the past": {a1, Command{Op: Acquire, Member: "b", Expected: a1}, 5, a1, false},
+		"a release by another member":  {a1, Command{Op: Release, Member: "b", Expected: a1}, 7, a1, false},
+		"an empty member name":         {a1, Command{Op: Acquire, Expected: a1}, 7, a1, false},
+		"an unknown operation":         {a1, Command{Op: 9, Member: "a", Expected: a1}, 7, a1, false},
+		"an index not above the token": {a1, Command{Op: Acquire, Member: "b", Expected: a1}, 5, a1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
@@ -67,7 +67,8 @@
 	}
 }
 
-// newOwner returns the side of a, whose command to acquire was proposed at 0 and granted at resultAt.
+// newOwner returns the candidate of member a, whose Acquire was proposed at 0 and its result handled at
+// resultAt.
 func newOwner(t *testing.T, resultAt time.Duration) *Candidate {
 	t.Helper()
 	c := newCandidate(t, "a", Grant{})
@@ -78,7 +79,7 @@
 	return c
 }
 
-// newCandidate returns the side of a member that has observed a grant at 0.
+// newCandidate returns the candidate of a member that observed a grant at 0.
 func newCandidate(t *testing.T, name string, observed Grant) *Candidate {
 	t.Helper()
 	c, err := NewCandidate(testSettings, name, "c")
@@ -92,10 +93,10 @@
 func TestLeaseStartsWhenItsCommandIsProposed(t *testing.T) {
 	c := newOwner(t, 500*time.Millisecond)
 	if !c.Owns(1999*time.Millisecond) || c.Owns(2*time.Second) {
-		t.Error("the lease does not count from its proposal")
+		t.Error("the lease does not last from the proposal of its command for the TTL")
 	}
 	if late := newOwner(t, 3*time.Second); late.Owns(3 * time.Second) {
-		t.Error("a grant whose result came after its end is acted on")
+		t.Error("a result that arrived after its lease had expired made the member the owner")
 	}
 }
 
@@ -113,16 +114,17 @@
 	}
 	c.HandleNoResult()
 	if c.Owns(2 * time.Second) {
-		t.Error("a lost renewal prolongs the lease")
+		t.Error("a renewal without a result extended the lease")
 	}
 	cmd, _ = c.NextProposal(time.Second)
-	c.HandleResult(1500*time.Millisecond, Result{Applied: true, Grant: Grant{Holder: "a", Token: 5, Renewals: 1}})
+	c.HandleResult(1500*time.Millisecond,
+		Result{Applied: true, Grant: Grant{Holder: "a", Token: 5, Renewals: 1}})
 	if got := c.Remaining(1500 * time.Millisecond); cmd.Op != Renew || got != 1500*time.Millisecond {
 		t.Errorf("%v remain after %+v", got, cmd)
 	}
 	c.Observe(1600*time.Millisecond, Grant{Holder: "b", Token: 9})
 	if c.Owns(1700*time.Millisecond) || c.Token() != 9 {
-		t.Error("it acts though another holds the lease")
+		t.Error("the member still owns the role after it observed a grant to another")
 	}
 }
 
@@ -139,17 +141,17 @@
 func TestTakeoverWaitsForTheClockDrift(t *testing.T) {
 	other := newCandidate(t, "b", Grant{Holder: "a", Token: 5})
 	if _, ok := other.NextProposal(2100 * time.Millisecond); ok {
-		t.Error("taken over within the drift")
+		t.Error("the other member acquires before the takeover delay has passed")
 	}
 	if cmd, ok := other.NextProposal(2300 * time.Millisecond); !ok || cmd.Op != Acquire {
-		t.Error("never taken over")
+		t.Error("the other member does not acquire after the takeover delay")
 	}
 }
 
 func TestGrantOfAnEarlierIncarnationGivesNoOwnership(t *testing.T) {
 	restarted := newCandidate(t, "a", Grant{Holder: "a", Token: 5})
 	if restarted.Owns(1) {
-		t.Error("an earlier incarnation's grant is acted on")
+		t.Error("a grant of an earlier incarnation made the member the owner")
 	}
 }
 
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -9,17 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// clusterModel plays members with clocks of their own rates; a log that takes commands late, twice or not at
-// all; replicas of it that lag; partitions; pauses of a member between its look at the lease and its side
-// effect; and a receiver with a fence. It moves in steps of modelStep, and draws from a seed alone.
+// clusterModel simulates members whose clocks run at different rates; a log that receives commands late, twice
+// or not at all; replicas that lag behind the log; partitions; pauses of a member between its check of the
+// lease and its side effect; and a receiver with a fence. Time advances in steps of modelStep. All random
+// choices derive from the scenario's seed.
 type clusterModel struct {
 	t                testingT
 	rng              *rand.Rand
-	now              time.Duration // true time
-	rates            []float64     // of the members' clocks
+	now              time.Duration // simulated true time
+	rates            []float64     // clock rate by member, 1 is exact
 	members          []*Candidate
-	pausedUntil      []time.Duration // a member does nothing until then
-	partitionedUntil []time.Duration // a member can't reach the log until then
+	pausedUntil      []time.Duration // by member: it does nothing until then
+	partitionedUntil []time.Duration // by member: it can't reach the log until then
 	table            *Table
 	logIndex         uint64
 	grantLog         []Grant         // the grant after each entry
@@ -42,14 +43,14 @@
 	Fatalf(format string, args ...any)
 }
 
-// scenario is what a play depends on. Rates are chances of each message, or a second of each member.
+// scenario has the parameters of one run of the model.
 type scenario struct {
 	seed          uint64
 	members       int
-	lossRate      float64
-	duplicateRate float64
-	pauseRate     float64
-	partitionRate float64
+	lossRate      float64       // probability per message
+	duplicateRate float64       // probability per message
+	pauseRate     float64       // per second and member
+	partitionRate float64       // per second and member
 	maxDelay      time.Duration // of a message
 }
 
@@ -69,7 +70,7 @@
 	from           int
 	cmd            Command
 	at             time.Duration // when it reaches the log
-	resultReturned bool          // its result comes back
+	resultReturned bool          // its result is sent back to the member
 }
 
 type resultInFlight struct {
@@ -83,7 +84,7 @@
 	at    time.Duration // when it reaches the receiver
 }
 
-// modelStep is the length of a step; maxOutage bounds pauses and partitions.
+// modelStep is the simulated time per step; maxOutage bounds the duration of pauses and partitions.
 const (
 	modelStep = 25 * time.Millisecond
 	maxOutage = 8 * time.Second
@@ -93,12 +94,12 @@
 	return time.Duration(float64(m.now) * m.rates[i])
 }
 
-// randomUpTo draws a duration from 0 to d.
+// randomUpTo draws a duration between 0 and d, both included.
 func (m *clusterModel) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Int64N(int64(d) + 1))
 }
 
-// happens draws whether something of that rate happens in this step.
+// happens draws whether an event with a rate per second occurs in this step.
 func (m *clusterModel) happens(ratePerSecond float64) bool {
 	return m.rng.Float64() < ratePerSecond*modelStep.Seconds()
 }
@@ -108,7 +109,7 @@
 	m := &clusterModel{t: t, table: NewTable(), rng: rand.New(rand.NewPCG(s.seed, 1)), scenario: s}
 	for i := range s.members {
 		rate := 1 - testSettings.Drift + 2*testSettings.Drift*m.rng.Float64()
-		if i < 2 { // the slowest possible clock beside the fastest
+		if i < 2 { // members 0 and 1 have the slowest and the fastest clock allowed
 			rate = 1 - testSettings.Drift + 2*testSettings.Drift*float64(i)
 		}
 		c, err := NewCandidate(testSettings, string(rune('a'+i)), "c")
@@ -126,13 +127,14 @@
 	return m
 }
 
-// stepMember plays one step of a member: a fault may begin, and it observes, proposes and acts.
+// stepMember simulates one step of a member: a fault may begin; then the member observes the log, proposes,
+// and sends a side effect if it owns the role.
 func (m *clusterModel) stepMember(i int) {
 	c := m.members[i]
 	if m.happens(m.scenario.pauseRate) {
 		if c.Owns(m.localClock(i)) {
 			m.pausedOwners++
-			// It had looked at its lease and was about to act: the effect goes out when it wakes.
+			// The pause falls between the check of the lease and the side effect, which is sent later.
 			m.sideEffects = append(m.sideEffects, sideEffect{c.Token(), m.now + m.randomUpTo(maxOutage)})
 		}
 		m.pausedUntil[i] = m.now + m.randomUpTo(maxOutage)
@@ -160,7 +162,7 @@
 	}
 }
 
-// replicate has a member observe the entries of the log that have reached its replica.
+// replicate makes a member observe the log entries that have reached its replica.
 func (m *clusterModel) replicate(i int) {
 	for m.observedCount[i] < len(m.grantLog) &&
 		m.committedAt[m.observedCount[i]]+m.replicationLag[i] <= m.now {
@@ -169,13 +171,14 @@
 	}
 }
 
-// propose sends a member's command, which may be lost, sent twice, or be without a result.
+// propose sends a member's command, which may be lost or duplicated, or whose result may be lost.
 func (m *clusterModel) propose(i int, cmd Command) {
 	if m.now < m.partitionedUntil[i] || m.rng.Float64() < m.scenario.lossRate {
 		m.members[i].HandleNoResult()
 		return
 	}
-	p := proposalInFlight{i, cmd, m.now + m.randomUpTo(m.scenario.maxDelay), m.rng.Float64() >= m.scenario.lossRate}
+	p := proposalInFlight{i, cmd, m.now + m.randomUpTo(m.scenario.maxDelay),
+		m.rng.Float64() >= m.scenario.lossRate}
 	m.inFlight = append(m.inFlight, p)
 	if m.rng.Float64() < m.scenario.duplicateRate {
 		p.at, p.resultReturned = p.at+m.randomUpTo(5*time.Second), false
@@ -186,7 +189,7 @@
 	}
 }
 
-// deliver has the log, the members and the receiver take what reaches them by now.
+// deliver delivers the proposals, results and side effects that are due by now.
 func (m *clusterModel) deliver() {
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(p proposalInFlight) bool {
 		if p.at <= m.now {
@@ -195,7 +198,7 @@
 		return p.at <= m.now
 	})
 	m.results = slices.DeleteFunc(m.results, func(r resultInFlight) bool {
-		if r.at > m.now || m.now < m.pausedUntil[r.from] { // a paused member finds it when it wakes
+		if r.at > m.now || m.now < m.pausedUntil[r.from] { // delivered once the pause is over
 			return false
 		}
 		m.members[r.from].HandleResult(m.localClock(r.from), r.result)
@@ -209,7 +212,7 @@
 	})
 }
 
-// commit has the log apply a command.
+// commit appends a command to the log and applies it.
 func (m *clusterModel) commit(p proposalInFlight) {
 	m.logIndex += uint64(1 + m.rng.IntN(3))
 	before := m.table.Get("c")
@@ -226,7 +229,7 @@
 	}
 }
 
-// receiveSideEffect has the receiver of side effects check a token.
+// receiveSideEffect checks the token of a side effect at the receiver and counts the outcome.
 func (m *clusterModel) receiveSideEffect(e sideEffect) {
 	highest := m.fence.HighestToken
 	if m.fence.Admit(e.token) != nil {
@@ -236,7 +239,7 @@
 	}
 }
 
-// run runs the model for two minutes and fails the test once two members own the role.
+// run runs the model for two simulated minutes and fails the test once two members own the role.
 func (m *clusterModel) run() {
 	m.t.Helper()
 	for m.now = 0; m.now < 2*time.Minute; m.now += modelStep {
@@ -249,14 +252,14 @@
 			}
 		}
 		if owners > 1 {
-			m.t.Fatalf("%d members act at %v", owners, m.now)
+			m.t.Fatalf("%d members own the role at %v", owners, m.now)
 		}
 	}
 }
 
-// Over any order of grants, renewals, pauses, drifts, partitions, lost, late and repeated messages, two
-// members never act at once, tokens only rise, and the receiver admits nothing that a newer token has
-// overtaken.
+// Under any sequence of grants, renewals, pauses, clock drifts, partitions and lost, late or duplicated
+// messages, two members never own the role at the same time, tokens never fall, and the receiver admits no side
+// effect whose token is lower than one it has admitted before.
 func TestNeverTwoOwners(t *testing.T) {
 	pauses, rejected, stale, acquired := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -265,15 +268,15 @@
 		pauses, rejected, stale, acquired = pauses+m.pausedOwners, rejected+m.rejectedEffects, stale+m.staleEffects,
 			acquired+m.acquisitions
 	})
-	t.Logf("%d grants, %d owners paused about to act, %d side effects rejected by token, %d stale admitted",
+	t.Logf("%d acquisitions, %d owners paused before a side effect, %d side effects rejected, %d stale admitted",
 		acquired, pauses, rejected, stale)
 	if stale > 0 || pauses < 1000 || rejected == 0 || acquired < 500 {
-		t.Error("a stale owner's side effect was admitted, or too little happened to tell")
+		t.Error("a stale owner's side effect was admitted, or too few events occurred for a verdict")
 	}
 }
 
-// TestNeverTwoOwnersRegressions plays the scenarios with which TestNeverTwoOwners has found two owners in a
-// faulty version of this package.
+// TestNeverTwoOwnersRegressions runs the scenarios in which TestNeverTwoOwners found two owners in faulty
+// versions of this package.
 func TestNeverTwoOwnersRegressions(t *testing.T) {
 	for name, s := range map[string]scenario{
 		"takeover that does not wait for the drift of both clocks": {members: 4, lossRate: 0.125,
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -5,9 +5,9 @@
 // Op is the operation of a Command. The zero Op is none.
 type Op uint8
 
-// Operations of a Command. Their numbers are part of the stored log.
+// Operations of a Command. Their numbers are stored in the log.
 const (
-	Acquire Op = iota + 1 // take the role over from Expected.Holder, who may be ""
+	Acquire Op = iota + 1 // grant the role to Member, in place of Expected.Holder if that isn't ""
 	Renew                 // extend the grant of the same holder
 	Release               // end the grant of the same holder
 )
@@ -16,8 +16,8 @@
 type Command struct {
 	Op       Op
 	Role     string
-	Member   string // who proposes it
-	Expected Grant  // the grant as the proposer knew it; if it has changed, the command is rejected
+	Member   string // name of the proposer
+	Expected Grant  // the grant as the proposer knew it; the command is rejected if it has changed
 }
 
 // Result is the outcome of a Command.
@@ -26,17 +26,17 @@
 	Grant   Grant `json:"grant"` // the current grant after the command
 }
 
-// MaxRoles bounds the number of roles of a Table.
+// MaxRoles bounds the number of roles in a Table.
 const MaxRoles = 64
 
-// Table holds the grants of all roles; it is the state machine of the log. Tokens of a role never fall. Use
-// NewTable. A Table is not safe for concurrent use.
+// Table is the replicated state machine of the leases: it has the current grant of each role. The token of a
+// role never falls. Create it with NewTable. A Table is not safe for concurrent use.
 type Table struct{ grants map[string]Grant }
 
 // NewTable returns a table without grants.
 func NewTable() *Table { return &Table{grants: map[string]Grant{}} }
 
-// Get returns the current grant of a role, the zero Grant if there was none.
+// Get returns the current grant of a role, the zero Grant if the role was never granted.
 func (t *Table) Get(role string) Grant { return t.grants[role] }
 
 // Grants returns a copy of all grants by role.
@@ -46,15 +46,15 @@
 	return grants
 }
 
-// Restore replaces the state by a copy of grants, as Grants returned them.
+// Restore replaces the state with a copy of grants, which Grants returned.
 func (t *Table) Restore(grants map[string]Grant) {
 	t.grants = make(map[string]Grant, len(grants))
 	maps.Copy(t.grants, grants)
 }
 
-// Apply applies the command at an index of the log. Indexes have to rise from call to call. A command is
-// rejected, and changes nothing, unless it names the current grant, is by the holder (Acquire by anybody),
-// and finds room for its role.
+// Apply applies the command at an index of the log. Indexes must rise from call to call. A command is
+// rejected, and changes nothing, unless it names the current grant, comes from the holder (an Acquire may come
+// from any member), and its role is already known or fits within MaxRoles.
 func (t *Table) Apply(index uint64, cmd Command) Result {
 	current, known := t.grants[cmd.Role]
 	rejected := Result{Grant: current}
