--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -5,8 +5,8 @@
 	"cresshub/internal/cluster/logcodec"
 )
 
-// Kinds of commands in the log, beside those of package ledger. They stand before the command itself
-// (logcodec.EncodeCommand).
+// Kinds of commands in the log, in addition to those of package ledger. The kind is the first byte of an
+// encoded command (logcodec.EncodeCommand).
 const (
 	kindLease               = 'L'
 	kindExportIntent        = 'I'
@@ -15,39 +15,40 @@
 	kindPublishEndpointList = 'T'
 )
 
-// The commands of a role carry the name of the owner that proposes them and the token of its grant. They are
-// encoded for the log with their fields in this order, see package logcodec.
+// Each command of a role has the name of the owner that proposes it and the token of the owner's grant. The
+// log stores the fields in the order in which they are declared, see package logcodec.
 
-// ExportIntent says that the owner is about to send a period.
+// ExportIntent records that the owner is about to send a period to the sink.
 type ExportIntent struct {
 	Member string
 	Token  uint64
 	Period uint64
 }
 
-// ExportDone says that the sink has acknowledged all of a period.
+// ExportDone records that the sink has acknowledged every entry of a period.
 type ExportDone struct {
 	Member string
 	Token  uint64
 	Period uint64
 }
 
-// CorrectionsExported says that the sink has acknowledged the pending corrections up to one.
+// CorrectionsExported records that the sink has acknowledged the pending corrections up to UpToSeq.
 type CorrectionsExported struct {
 	Member  string
 	Token   uint64
 	UpToSeq uint64 // PendingCorrection.Seq
 }
 
-// PublishEndpointList publishes the list of zone servers. An empty Raw confirms the list published before.
+// PublishEndpointList publishes the list of zone servers. An empty Raw confirms that the list published
+// before is still current.
 type PublishEndpointList struct {
 	Member         string
 	Token          uint64
-	DiscoveryIndex int64  // discovery's number of the list
+	DiscoveryIndex int64  // discovery's version number of the list
 	Raw            []byte // JSON in discovery's format
 }
 
-// EncodeLease encodes a command of the lease for the log.
+// EncodeLease encodes a lease command for the log.
 func EncodeLease(cmd lease.Command) []byte { return logcodec.EncodeCommand(kindLease, &cmd) }
 
 // Encode encodes the command for the log.
--- a/internal/cluster/groupstate/export.go
+++ b/internal/cluster/groupstate/export.go
@@ -3,30 +3,32 @@
 import "cresshub/internal/cluster/ledger"
 
 const (
-	// maxUnexportedPeriods bounds the closed periods that wait for their export: two weeks of minutes. Beyond
-	// it the oldest are dropped, which Stats.Unsent counts.
+	// maxUnexportedPeriods bounds the closed periods that are retained until their export: two weeks of periods
+	// of one minute. Beyond it the oldest are dropped, which Stats.DroppedPeriods counts.
 	maxUnexportedPeriods = 20_160
-	// maxPendingCorrections bounds the corrections that wait for their export. Beyond it corrections of
-	// exported periods are rejected.
+	// maxPendingCorrections bounds the corrections that wait for their export. Beyond it corrections of frozen
+	// periods are rejected.
 	maxPendingCorrections = 10_000
 )
 
-// openExport is an ExportIntent without its ExportDone, with the rows frozen as they are sent. It is stored
-// in snapshots, see package logcodec.
+// openExport is an export whose ExportIntent was applied and whose ExportDone was not, with the rows frozen
+// as they are sent. It is stored in snapshots with its fields in this order, see package logcodec.
 type openExport struct {
 	Period, Token uint64
 	Rows          []ledger.Row
 }
 
-// PendingCorrection is a correction of a period that was sealed before it came. It is exported on its own.
+// PendingCorrection is a correction that arrived after the rows of its period had been frozen. It is exported
+// as an entry of its own.
 type PendingCorrection struct {
 	Seq uint64 `json:"seq"` // from 1, without gaps
 	ledger.Correction
 }
 
-// mayDrop reports whether the ledger may drop a closed period beyond those it retains: once it is exported,
-// if there was no export at all, or if too many wait. It counts the periods dropped before their export. The
-// ledger calls it for its oldest period when it applies a close, and drops the period if it may.
+// mayDrop reports whether the ledger may drop a closed period that exceeds the number it retains: the period
+// is exported, no export has ever begun, or too many periods wait for their export and this one isn't being
+// sent. It counts the periods dropped before their export. The ledger calls it for its oldest period when it
+// closes a period, and drops that oldest period if the result is true.
 func (m *Machine) mayDrop(period uint64) bool {
 	if !m.state.ExportStarted || period <= m.state.LastExported {
 		return true
@@ -39,7 +41,8 @@
 	return false
 }
 
-// lastFrozenPeriod returns the newest period whose rows are frozen: the one being sent, else the last one exported.
+// lastFrozenPeriod returns the newest period whose rows are frozen: the one being sent, or else the last one
+// exported.
 func (m *Machine) lastFrozenPeriod() uint64 {
 	if m.state.OpenExport != nil {
 		return m.state.OpenExport.Period
@@ -47,7 +50,7 @@
 	return m.state.LastExported
 }
 
-// nextDuePeriod returns the next period to be exported, 0 if there is none yet.
+// nextDuePeriod returns the oldest period that is not exported, 0 if that one is not final yet.
 func (m *Machine) nextDuePeriod() uint64 {
 	next := m.nextUnexportedPeriod()
 	if next > m.Ledger.FinalPeriod() {
@@ -56,7 +59,7 @@
 	return next
 }
 
-// nextUnexportedPeriod returns the oldest period that is retained and not exported.
+// nextUnexportedPeriod returns the oldest period that the ledger retains and that is not exported.
 func (m *Machine) nextUnexportedPeriod() uint64 {
 	return max(m.state.LastExported+1, m.Ledger.FirstPeriod())
 }
@@ -68,15 +71,15 @@
 	}
 	switch {
 	case m.state.OpenExport != nil && m.state.OpenExport.Period == cmd.Period:
-		return accepted // a duplicate: what is sent remains as it was
+		return accepted // a duplicate: the frozen rows stay as they are
 	case m.state.OpenExport != nil:
-		return m.reject("period %d is being sent", m.state.OpenExport.Period)
+		return m.reject("the export of period %d is still open", m.state.OpenExport.Period)
 	case cmd.Period == 0 || cmd.Period != m.nextDuePeriod():
-		return m.reject("period %d is not the next to be sent; that is %d", cmd.Period, m.nextDuePeriod())
+		return m.reject("period %d is not the next to export, which is %d", cmd.Period, m.nextDuePeriod())
 	}
 	rows, ok := m.Ledger.Rows(cmd.Period)
 	if !ok {
-		return m.reject("there is no period %d", cmd.Period)
+		return m.reject("ledger has no period %d", cmd.Period)
 	}
 	m.state.ExportStarted = true
 	m.state.OpenExport = &openExport{Period: cmd.Period, Token: cmd.Token, Rows: rows}
@@ -92,14 +95,15 @@
 	case m.state.OpenExport == nil && cmd.Period == m.state.LastExported:
 		return accepted // a duplicate
 	case m.state.OpenExport == nil || m.state.OpenExport.Period != cmd.Period:
-		return m.reject("period %d is not being sent", cmd.Period)
+		return m.reject("no export of period %d is open", cmd.Period)
 	}
 	m.state.LastExported, m.state.OpenExport = cmd.Period, nil
 	m.state.Stats.ExportedPeriods++
 	return accepted
 }
 
-// applyLateCorrection applies a correction of a sealed period, which is exported on its own.
+// applyLateCorrection applies a correction of a frozen period and adds it to the pending corrections, which
+// are exported as entries of their own.
 func (m *Machine) applyLateCorrection(index uint64, data []byte, correction ledger.Correction) ledger.Result {
 	if len(m.state.PendingCorrections) >= maxPendingCorrections {
 		m.state.Stats.Rejected++
@@ -108,18 +112,19 @@
 	result := m.Ledger.Apply(index, data)
 	if result.Status == ledger.StatusCorrected {
 		m.state.LastCorrectionSeq++
-		m.state.PendingCorrections = append(m.state.PendingCorrections, PendingCorrection{m.state.LastCorrectionSeq, correction})
+		m.state.PendingCorrections = append(m.state.PendingCorrections,
+			PendingCorrection{m.state.LastCorrectionSeq, correction})
 	}
 	return result
 }
 
-// applyCorrectionsExported drops the pending corrections that the sink has.
+// applyCorrectionsExported drops the pending corrections that the sink has acknowledged.
 func (m *Machine) applyCorrectionsExported(cmd *CorrectionsExported) Result {
 	if !m.owns(cmd.Member, cmd.Token) {
 		return m.rejectStale(cmd.Member, cmd.Token)
 	}
 	if cmd.UpToSeq > m.state.LastCorrectionSeq {
-		return m.reject("there is no correction %d", cmd.UpToSeq)
+		return m.reject("no correction %d was added", cmd.UpToSeq)
 	}
 	for len(m.state.PendingCorrections) > 0 && m.state.PendingCorrections[0].Seq <= cmd.UpToSeq {
 		m.state.PendingCorrections = m.state.PendingCorrections[1:]
--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -6,7 +6,8 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// What each command of the export does, and that it is rejected under a token that isn't that of the grant.
+// Applies each command of the export in and out of order, and under tokens other than that of the current
+// grant, with which it must be rejected as stale.
 func TestExportStepsRequireTheCurrentGrant(t *testing.T) {
 	l := newTestLog(t)
 	l.addPeriod(5)
@@ -23,57 +24,59 @@
 	check := func(what string, got, want string) {
 		t.Helper()
 		if got != want {
-			t.Errorf("%s: %s, not %s", what, got, want)
+			t.Errorf("%s: status %s, want %s", what, got, want)
 		}
 	}
 	check("a period that does not exist", l.applyStatus(intent("a", a, 9)), StatusRejected)
-	check("no period", l.applyStatus(intent("a", a, 0)), StatusRejected)
-	check("the open period", l.applyStatus(intent("a", a, 2)), StatusRejected)
-	check("another's token", l.applyStatus(intent("b", a, 1)), StatusStale)
+	check("period 0", l.applyStatus(intent("a", a, 0)), StatusRejected)
+	check("the ledger's open period", l.applyStatus(intent("a", a, 2)), StatusRejected)
+	check("another member's token", l.applyStatus(intent("b", a, 1)), StatusStale)
 	check("no token", l.applyStatus(intent("a", 0, 1)), StatusStale)
-	check("a token of the future", l.applyStatus(intent("a", a+1, 1)), StatusStale)
-	check("done before begun", l.applyStatus(done("a", a, 1)), StatusRejected)
+	check("a token above the grant's", l.applyStatus(intent("a", a+1, 1)), StatusStale)
+	check("done without an intent", l.applyStatus(done("a", a, 1)), StatusRejected)
 	check("the next period", l.applyStatus(intent("a", a, 1)), StatusAccepted)
-	check("the same again", l.applyStatus(intent("a", a, 1)), StatusAccepted)
-	// A correction that comes now is not part of what is sent.
+	check("a duplicate intent", l.applyStatus(intent("a", a, 1)), StatusAccepted)
+	// A correction after the intent is not added to the frozen rows.
 	fix := &ledger.Correction{ID: "x", Period: 1, Key: ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup",
 		Answer: "passed"}, Usage: ledger.Usage{Count: -1}, Reason: "asked for"}
 	if r := l.apply(fix.Encode()).(ledger.Result); r.Status != ledger.StatusCorrected {
 		t.Fatalf("%+v", r)
 	}
-	l.apply(fix.Encode()) // the same id counts once
+	l.apply(fix.Encode()) // a duplicate ID is counted once
 	b := l.acquire("b")
-	check("the old owner is done", l.applyStatus(done("a", a, 1)), StatusStale)
-	if s := l.pendingExport(); s.IntentPeriod != 1 || s.IntentToken != a || len(s.Rows) != 1 || s.Rows[0].Count != 5 ||
-		s.Rows[0].Corrections.Count != 0 || len(s.Corrections) != 1 {
-		t.Errorf("what the next owner sends is %+v", s)
+	check("done by the earlier owner", l.applyStatus(done("a", a, 1)), StatusStale)
+	if s := l.pendingExport(); s.IntentPeriod != 1 || s.IntentToken != a || len(s.Rows) != 1 ||
+		s.Rows[0].Count != 5 || s.Rows[0].Corrections.Count != 0 || len(s.Corrections) != 1 {
+		t.Errorf("the next owner has to export %+v", s)
 	}
 	l.addPeriod(7)
-	check("a second intent", l.applyStatus(intent("b", b, 2)), StatusRejected)
-	check("the next owner is done", l.applyStatus(done("b", b, 1)), StatusAccepted)
-	check("and again", l.applyStatus(done("b", b, 1)), StatusAccepted)
-	check("corrections that are not", l.applyStatus((&CorrectionsExported{"b", b, 2}).Encode()), StatusRejected)
-	check("corrections by the old owner", l.applyStatus((&CorrectionsExported{"a", a, 1}).Encode()), StatusStale)
+	check("an intent while another is open", l.applyStatus(intent("b", b, 2)), StatusRejected)
+	check("done by the next owner", l.applyStatus(done("b", b, 1)), StatusAccepted)
+	check("a duplicate done", l.applyStatus(done("b", b, 1)), StatusAccepted)
+	check("corrections beyond the last one", l.applyStatus((&CorrectionsExported{"b", b, 2}).Encode()),
+		StatusRejected)
+	check("corrections by the earlier owner", l.applyStatus((&CorrectionsExported{"a", a, 1}).Encode()),
+		StatusStale)
 	check("corrections", l.applyStatus((&CorrectionsExported{"b", b, 1}).Encode()), StatusAccepted)
 	if s := l.pendingExport(); s.DuePeriod != 2 || len(s.Corrections) != 0 {
 		t.Errorf("%+v", s)
 	}
-	check("garbage", l.applyStatus([]byte{'I', 0xc1}), StatusRejected)
+	check("a command that does not decode", l.applyStatus([]byte{'I', 0xc1}), StatusRejected)
 	v := l.machine.View()
-	if v.LastExported != 1 || v.Backlog != 1 || v.Stats.ExportedPeriods != 1 || v.Stats.ExportedCorrections != 1 ||
-		v.Stats.Stale != 5 || v.Stats.Rejected != 7 || v.Stats.Grants != 2 {
+	if v.LastExported != 1 || v.Backlog != 1 || v.Stats.ExportedPeriods != 1 ||
+		v.Stats.ExportedCorrections != 1 || v.Stats.Stale != 5 || v.Stats.Rejected != 7 || v.Stats.Grants != 2 {
 		t.Errorf("%+v", v)
 	}
 }
 
-// A period that was not exported is retained beyond the bound on periods once exports have begun.
+// Once an export has begun, the ledger retains unexported periods beyond Settings.MaxPeriods.
 func TestUnexportedPeriodsAreRetained(t *testing.T) {
 	l := newTestLog(t)
 	for range 10 {
 		l.addPeriod(1)
 	}
 	if first := l.machine.Ledger.FirstPeriod(); first != 8 {
-		t.Errorf("without an export the oldest is %d", first)
+		t.Errorf("before the first export the oldest period is %d, want 8", first)
 	}
 	a := l.acquire("a")
 	if s := l.applyStatus((&ExportIntent{"a", a, 8}).Encode()); s != StatusAccepted {
@@ -83,11 +86,11 @@
 		l.addPeriod(1)
 	}
 	if first := l.machine.Ledger.FirstPeriod(); first != 8 {
-		t.Errorf("8 is being sent, and the oldest is %d", first)
+		t.Errorf("while period 8 is being exported the oldest period is %d", first)
 	}
 	l.apply((&ExportDone{"a", a, 8}).Encode())
 	l.addPeriod(1)
 	if first := l.machine.Ledger.FirstPeriod(); first != 9 {
-		t.Errorf("8 is done and 9 is not; the oldest is %d", first)
+		t.Errorf("after period 8 was exported the oldest period is %d, want 9", first)
 	}
 }
--- a/internal/cluster/groupstate/follower.go
+++ b/internal/cluster/groupstate/follower.go
@@ -3,9 +3,9 @@
 import "time"
 
 // Follower decides whether a member uses the published endpoint list or asks discovery by itself. It is pure:
-// time is the caller's monotonic clock, which must not go back. The age of a list counts from when this
-// member observed that it was published or confirmed, as clocks of different members are not compared. A
-// Follower is not safe for concurrent use.
+// the caller passes the time of its monotonic clock, which must not decrease. The age of a list is measured
+// from the time at which this member observed its publication or confirmation, as clocks of different members
+// are not compared. A Follower is not safe for concurrent use.
 type Follower struct {
 	maxAge     time.Duration
 	jitter     time.Duration
@@ -14,15 +14,15 @@
 }
 
 // NewFollower returns a follower that waits for the first publication as long as for any later one. jitter is
-// this member's own addition to maxAge, drawn between 0 and maxAge, so that a fleet without an owner doesn't
-// ask discovery all at once.
+// added to maxAge; each member draws its own between 0 and maxAge, so that in a fleet without an owner the
+// members don't all ask discovery at the same time.
 func NewFollower(now, maxAge, jitter time.Duration) *Follower {
 	return &Follower{maxAge: maxAge, jitter: jitter, observedAt: now}
 }
 
-// Observe takes in the published list as this member's replica has it, and reports whether it is new.
-// localIndex is discovery's number of the list that this member uses: a published one behind that isn't
-// accepted, as servers that have left would come back.
+// Observe records the published list that this member has read, and reports whether it is a new publication
+// or confirmation. localIndex is discovery's version number of the list that this member uses: a published
+// list with a lower one isn't accepted, as it would bring back servers that have left.
 func (f *Follower) Observe(now time.Duration, view EndpointView, localIndex int64) bool {
 	if view.Version <= f.version || view.DiscoveryIndex < localIndex {
 		return false
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Fresh reports whether the published list is young enough to be used.
+// Fresh reports whether the published list is recent enough to be used.
 func (f *Follower) Fresh(now time.Duration) bool { return now-f.observedAt <= f.maxAge+f.jitter }
 
 // Age returns the time since the last publication was observed, or since the start if there was none.
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -15,13 +15,13 @@
 	goldenKey   = ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
 	goldenRow   = ledger.Row{Key: goldenKey, Usage: ledger.Usage{Count: 21, BytesIn: 22, BytesOut: 23},
 		Corrections: ledger.Usage{Count: -24, BytesIn: -25, BytesOut: -26}}
-	goldenCorrection = PendingCorrection{Seq: 31, Correction: ledger.Correction{ID: "fix-1", Period: 32, Key: goldenKey,
-		Usage: ledger.Usage{Count: -33, BytesIn: -34, BytesOut: -35}, Reason: "counted twice"}}
-	goldenStats = Stats{Grants: 41, Stale: 42, Rejected: 43, ExportedPeriods: 44, DroppedPeriods: 45, ExportedCorrections: 46,
-		EndpointLists: 47}
+	goldenCorrection = PendingCorrection{Seq: 31, Correction: ledger.Correction{ID: "fix-1", Period: 32,
+		Key: goldenKey, Usage: ledger.Usage{Count: -33, BytesIn: -34, BytesOut: -35}, Reason: "counted twice"}}
+	goldenStats = Stats{Grants: 41, Stale: 42, Rejected: 43, ExportedPeriods: 44, DroppedPeriods: 45,
+		ExportedCorrections: 46, EndpointLists: 47}
 )
 
-// checkGoldenEntry holds an entry of the log to its file, both ways.
+// checkGoldenEntry compares an encoded log entry with its golden file, and the decoded file with want.
 func checkGoldenEntry[C any](t *testing.T, name string, want C, raw []byte) {
 	t.Helper()
 	goldenfile.CheckFieldsSet(t, name, want)
@@ -36,8 +36,8 @@
 	goldenfile.CheckDecoded(t, name, got, want)
 }
 
-// Structs stand in the log as arrays, in the order of their fields: each field's value is its own, so that
-// two that change places show.
+// The log stores structs as arrays in the order of their fields. Each field has a different value here, so
+// that the test detects two fields that were swapped.
 func TestGoldenEntriesAreReadAndWrittenByteForByte(t *testing.T) {
 	intent := ExportIntent{Member: "odori-1", Token: 300, Period: 70_000}
 	checkGoldenEntry(t, "intent.bin", intent, intent.Encode())
@@ -45,7 +45,8 @@
 	checkGoldenEntry(t, "done.bin", done, done.Encode())
 	settled := CorrectionsExported{Member: "odori-1", Token: 302, UpToSeq: 70_002}
 	checkGoldenEntry(t, "settled.bin", settled, settled.Encode())
-	list := PublishEndpointList{Member: "odori-1", Token: 303, DiscoveryIndex: 70_003, Raw: []byte(`{"index":70003}`)}
+	list := PublishEndpointList{Member: "odori-1", Token: 303, DiscoveryIndex: 70_003,
+		Raw: []byte(`{"index":70003}`)}
 	checkGoldenEntry(t, "list.bin", list, list.Encode())
 
 	for name, op := range map[string]lease.Op{"take.bin": lease.Acquire, "renew.bin": lease.Renew,
@@ -55,13 +56,13 @@
 	}
 }
 
-// goldenEndpointState is the list of list.bin as the machine holds it after it was applied at an index.
+// goldenEndpointState returns the endpoint state after the command of list.bin was applied at an index.
 func goldenEndpointState(index uint64) endpointState {
 	return endpointState{Token: 303, Version: index, ChangedVersion: index, DiscoveryIndex: 70_003,
 		Raw: []byte(`{"index":70003}`)}
 }
 
-// What the entries do: the byte before each says which of them it is.
+// Each golden entry is applied as the command that its first byte, the kind, names.
 func TestGoldenEntriesAreAppliedByKind(t *testing.T) {
 	held := func(name string) []byte {
 		raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -87,13 +88,13 @@
 	}
 	own(300)
 	goldenfile.CheckDecoded(t, "intent.bin", m.Apply(53, held("intent.bin")), any(Result{Status: StatusRejected,
-		Reason: "period 70000 is not the next to be sent; that is 0"}))
+		Reason: "period 70000 is not the next to export, which is 0"}))
 	own(301)
 	goldenfile.CheckDecoded(t, "done.bin", m.Apply(54, held("done.bin")), any(Result{Status: StatusRejected,
-		Reason: "period 70001 is not being sent"}))
+		Reason: "no export of period 70001 is open"}))
 	own(302)
 	goldenfile.CheckDecoded(t, "settled.bin", m.Apply(55, held("settled.bin")), any(Result{
-		Status: StatusRejected, Reason: "there is no correction 70002"}))
+		Status: StatusRejected, Reason: "no correction 70002 was added"}))
 	own(303)
 	goldenfile.CheckDecoded(t, "list.bin", m.Apply(56, held("list.bin")), any(Result{Status: StatusAccepted}))
 	goldenfile.CheckDecoded(t, "list.bin", m.state.Endpoints, goldenEndpointState(56))
@@ -108,8 +109,8 @@
 		"another": {Holder: "susukino-2", Token: 14, Renewals: 15}})
 	want.state = state{ExportStarted: true, LastExported: 51, OpenExport: &openExport{Period: 52, Token: 53,
 		Rows: []ledger.Row{goldenRow}},
-		PendingCorrections: []PendingCorrection{goldenCorrection}, LastCorrectionSeq: 54, Endpoints: goldenEndpointState(55),
-		Stats: goldenStats}
+		PendingCorrections: []PendingCorrection{goldenCorrection}, LastCorrectionSeq: 54,
+		Endpoints: goldenEndpointState(55), Stats: goldenStats}
 	want.state.Endpoints.ChangedVersion = 57
 	goldenfile.CheckFieldsSet(t, "state", want.state)
 	held := goldenfile.CheckBytes(t, "snapshot.bin", want.Snapshot())
@@ -123,7 +124,7 @@
 	goldenfile.CheckDecoded(t, "snapshot.bin", got.Ledger.Snapshot(), want.Ledger.Snapshot())
 	goldenfile.CheckBytes(t, "snapshot.bin", got.Snapshot())
 
-	// A snapshot from before there were chores is the ledger's alone.
+	// A snapshot from before leases and exports existed contains only the ledger.
 	old := newTestLog(t).machine
 	ledgerSnapshot := goldenfile.CheckBytes(t, "snapshot-of-the-ledger.bin", want.Ledger.Snapshot())
 	if err := old.Restore(ledgerSnapshot); err != nil {
@@ -141,10 +142,11 @@
 		FleetRole, StatusAccepted, StatusStale,
 		StatusRejected})
 	goldenfile.CheckJSON(t, "result.json", Result{Status: StatusStale, Reason: "another's"})
-	list := EndpointView{Version: 71, ChangedVersion: 72, Token: 73, DiscoveryIndex: 74, Raw: []byte(`{"index":74}`)}
+	list := EndpointView{Version: 71, ChangedVersion: 72, Token: 73, DiscoveryIndex: 74,
+		Raw: []byte(`{"index":74}`)}
 	goldenfile.CheckJSON(t, "list.json", list)
-	goldenfile.CheckJSON(t, "view.json", View{Grant: goldenGrant, LastExported: 81, IntentPeriod: 82, IntentToken: 83,
-		FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenStats})
+	goldenfile.CheckJSON(t, "view.json", View{Grant: goldenGrant, LastExported: 81, IntentPeriod: 82,
+		IntentToken: 83, FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenStats})
 	goldenfile.CheckJSON(t, "statement.json", PendingExport{Grant: goldenGrant, DuePeriod: 91, IntentPeriod: 92,
 		IntentToken: 93, Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenCorrection}})
 }
--- a/internal/cluster/groupstate/machine.go
+++ b/internal/cluster/groupstate/machine.go
@@ -6,13 +6,13 @@
 //
 // Every command of a role carries the fencing token of the grant it was made under (Kleppmann, "How to do
 // distributed locking", 2016; Burrows, Chubby, OSDI 2006, calls it a sequencer). A command whose token isn't
-// that of the current grant is rejected as stale, as the sink and discovery reject calls.
+// that of the current grant is rejected as stale, just as the sink and discovery reject calls.
 //
-// A period is exported in three steps: an ExportIntent, which freezes what is sent; the calls to the sink;
-// and an ExportDone. An intent that was left open is resumed by the next owner, which sends the same bytes
-// under the same ids, so that the sink recognizes duplicates. Periods are exported in their order, each once
-// no late answer can count in it any more. Corrections of a period from its intent on are exported on their
-// own.
+// A period is exported in three steps: an ExportIntent, which freezes the rows to send; the calls to the
+// sink; and an ExportDone. If an owner leaves an intent open, the next owner resumes it and sends the same
+// bytes under the same IDs, so that the sink recognizes duplicates. Periods are exported in ascending order,
+// each as soon as no late answer can be counted in it any more. A correction that arrives after the intent
+// of its period is exported as an entry of its own.
 package groupstate
 
 import (
@@ -23,7 +23,7 @@
 	"cresshub/internal/cluster/logcodec"
 )
 
-// FleetRole is the one role that is leased: its owner runs all singleton roles of the fleet.
+// FleetRole is the only role that is leased: its owner runs all singleton roles of the fleet.
 const FleetRole = "fleet"
 
 // Result is the outcome of a command of a role.
@@ -35,13 +35,13 @@
 // Values of Result.Status.
 const (
 	StatusAccepted = "taken"
-	StatusStale    = "stale"   // its token isn't that of the current grant: its proposer is no owner any more
-	StatusRejected = "refused" // it doesn't decode, or doesn't fit the state
+	StatusStale    = "stale"   // its token isn't that of the current grant: the proposer doesn't own the role
+	StatusRejected = "refused" // it doesn't decode, or the state doesn't allow it
 )
 
 var accepted = Result{Status: StatusAccepted}
 
-// Stats count what was applied.
+// Stats count the commands applied and their effects.
 type Stats struct {
 	Grants              int64 `json:"grants"`  // leases acquired
 	Stale               int64 `json:"stale"`   // commands rejected because of their token
@@ -54,21 +54,21 @@
 
 // Machine is the state machine of a group. Use New.
 //
-// The ledger's export goes from period to period: none is open and nextDue is the next one; an ExportIntent
-// opens it and freezes its rows; an ExportDone ends it and makes it the last one exported. Exported never
-// falls, and at most one intent is open. Whoever owns the role may take either step, also where an earlier
-// owner took the one before.
+// The export of the ledger is a cycle: no export is open and nextDuePeriod is the next period; an
+// ExportIntent opens its export and freezes its rows; an ExportDone ends it and makes it the last period
+// exported. The last period exported never falls, and at most one intent is open. The current owner of the
+// role may take either step, even if an earlier owner took the preceding one.
 type Machine struct {
-	Ledger       *ledger.Ledger // changed by Apply and Restore alone
+	Ledger       *ledger.Ledger // only Apply and Restore may change it
 	leases       *lease.Table
 	state        state
-	appliedIndex uint64 // of the last command
+	appliedIndex uint64 // log index of the last command applied
 }
 
-// state is what a Machine has beside the ledger and the leases. It is stored in snapshots, see package
-// logcodec.
+// state is the state of a Machine without the ledger and the leases. It is stored in snapshots with its
+// fields in this order, see package logcodec.
 type state struct {
-	ExportStarted      bool                // there was an ExportIntent: from then on periods wait for their export
+	ExportStarted      bool                // an ExportIntent was applied: unexported periods are retained
 	LastExported       uint64              // the last period exported, 0 for none
 	OpenExport         *openExport         // nil for none
 	PendingCorrections []PendingCorrection // by Seq
@@ -77,7 +77,7 @@
 	Stats              Stats
 }
 
-// New returns a machine with an empty state, or an error if the settings are unsound.
+// New returns a machine with an empty state, or an error if the settings are invalid.
 func New(settings ledger.Settings) (*Machine, error) {
 	usage, err := ledger.New(settings)
 	if err != nil {
@@ -88,9 +88,9 @@
 	return m, nil
 }
 
-// Apply applies the command at an index of the log; indexes have to rise. It returns a lease.Result for a
-// command of the lease, a Result for one of a role, and a ledger.Result for any other. A command that doesn't
-// decode is counted and changes nothing else.
+// Apply applies the command at an index of the log; indexes must rise. It returns a lease.Result for a lease
+// command, a Result for a command of a role, and a ledger.Result for any other. A command that doesn't decode
+// is counted as rejected and changes nothing else.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	m.appliedIndex = index
 	if len(data) == 0 {
@@ -118,12 +118,12 @@
 func decodeAndApply[C any](m *Machine, data []byte, apply func(*C) Result) Result {
 	var cmd C
 	if err := logcodec.DecodeCommand(data, &cmd); err != nil {
-		return m.reject("it does not decode: %v", err)
+		return m.reject("decoding command: %v", err)
 	}
 	return apply(&cmd)
 }
 
-// applyLease applies a command of the lease, of which there is one role alone.
+// applyLease applies a lease command. It rejects commands for roles other than FleetRole.
 func (m *Machine) applyLease(index uint64, data []byte) lease.Result {
 	var cmd lease.Command
 	if err := logcodec.DecodeCommand(data, &cmd); err != nil || cmd.Role != FleetRole {
@@ -140,7 +140,7 @@
 // grant returns the current grant of the fleet's role.
 func (m *Machine) grant() lease.Grant { return m.leases.Get(FleetRole) }
 
-// owns reports whether a token is that of the current grant, and member its holder.
+// owns reports whether token is that of the current grant and member is its holder.
 func (m *Machine) owns(member string, token uint64) bool {
 	grant := m.grant()
 	return member != "" && grant.Holder == member && grant.Token == token
@@ -150,7 +150,8 @@
 func (m *Machine) rejectStale(member string, token uint64) Result {
 	m.state.Stats.Stale++
 	grant := m.grant()
-	reason := fmt.Sprintf("token %d of %q; the grant is %d of %q", token, member, grant.Token, grant.Holder)
+	reason := fmt.Sprintf("token %d of %q is stale; the current grant is token %d of %q", token, member,
+		grant.Token, grant.Holder)
 	return Result{Status: StatusStale, Reason: reason}
 }
 
--- a/internal/cluster/groupstate/machine_test.go
+++ b/internal/cluster/groupstate/machine_test.go
@@ -13,7 +13,7 @@
 var testSettings = ledger.Settings{MaxPeriods: 3, DedupPeriods: 1, MaxIDs: 100, MaxTenants: 10,
 	MaxMembers: 10}
 
-// testLog applies commands one after the other, each at the next index.
+// testLog applies commands to a machine, each at the next log index.
 type testLog struct {
 	tb      testing.TB
 	machine *Machine
@@ -31,13 +31,13 @@
 
 func (l *testLog) apply(b []byte) any { l.index++; return l.machine.Apply(l.index, b) }
 
-// acquire has a member become the owner, and returns its token.
+// acquire makes a member the owner and returns its token.
 func (l *testLog) acquire(member string) uint64 {
 	l.tb.Helper()
 	r := l.apply(EncodeLease(lease.Command{Op: lease.Acquire, Role: FleetRole, Member: member,
 		Expected: l.machine.leases.Get(FleetRole)})).(lease.Result)
 	if !r.Applied {
-		l.tb.Fatalf("%s did not become the owner: %+v", member, r)
+		l.tb.Fatalf("the acquisition by %s was rejected: %+v", member, r)
 	}
 	return r.Grant.Token
 }
@@ -65,8 +65,9 @@
 	return v.(PendingExport)
 }
 
-// The same log gives the same state, through a snapshot anywhere on the way; and whatever comes in whatever
-// order, periods are done in their order, each under the grant that stood.
+// The same log gives the same state on a replica that is restored from snapshots at random positions of the
+// log. For random commands in random order, the last exported period never falls and only rises while a
+// member holds the lease.
 func TestSameLogGivesSameStateAcrossSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		uninterrupted, _ := New(testSettings)
@@ -103,7 +104,7 @@
 			restored.Apply(uint64(i+1), data)
 			if now := uninterrupted.state.LastExported; now != exported {
 				if now < exported || grant.Holder == "" {
-					t.Fatalf("period %d is done after %d, the grant was %+v", now, exported, grant)
+					t.Fatalf("last exported period went from %d to %d under the grant %+v", exported, now, grant)
 				}
 				exported = now
 			}
@@ -116,7 +117,7 @@
 			}
 		}
 		if !bytes.Equal(uninterrupted.Snapshot(), restored.Snapshot()) {
-			t.Fatal("the states differ")
+			t.Fatal("the state restored from snapshots differs")
 		}
 	})
 }
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -8,7 +8,8 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// Values of Query.Kind, with the type of their answer. "" asks the ledger, by ledger.Query.
+// Values of Query.Kind, with the type of the result of Machine.Read. "" queries the ledger by the embedded
+// ledger.Query.
 const (
 	QueryGrant         = "grant"     // lease.Grant
 	QueryView          = "view"      // View
@@ -16,10 +17,11 @@
 	QueryEndpoints     = "list"      // EndpointView
 )
 
-// Query is what Machine.Read answers, as JSON. A ledger.Query in JSON is a Query too.
+// Query is the argument of Machine.Read, encoded as JSON. A ledger.Query encoded as JSON is a valid Query
+// too.
 type Query struct {
 	Kind         string `json:"ask,omitempty"`
-	ChangedAfter uint64 `json:"after,omitempty"` // QueryEndpoints: leave out the list unless it has changed after this
+	ChangedAfter uint64 `json:"after,omitempty"` // QueryEndpoints: omit Raw unless ChangedVersion is above this
 	ledger.Query
 }
 
@@ -27,12 +29,12 @@
 func (q Query) Encode() []byte {
 	b, err := json.Marshal(q)
 	if err != nil {
-		panic(err) // numbers and strings alone: no input leads here
+		panic(err) // not reached: the query has only numbers and strings
 	}
 	return b
 }
 
-// View is what operators see of the state beside the ledger.
+// View is the state without the ledger, as operators see it.
 type View struct {
 	Grant              lease.Grant  `json:"grant"`
 	LastExported       uint64       `json:"exported"` // the last period that the sink has acknowledged in full
@@ -40,28 +42,28 @@
 	IntentToken        uint64       `json:"intent_token"`
 	FinalPeriod        uint64       `json:"final"`   // the newest period that may be exported
 	OpenPeriod         uint64       `json:"open"`    // the open period of the ledger
-	Backlog            int          `json:"backlog"` // periods that may be exported and are not
+	Backlog            int          `json:"backlog"` // periods that may be exported and have not been
 	PendingCorrections int          `json:"corrections_waiting"`
 	Endpoints          EndpointView `json:"list"`
 	Stats              Stats        `json:"figures"`
 }
 
-// EndpointView is the endpoint list as it was last published.
+// EndpointView is the endpoint list that was published last.
 type EndpointView struct {
-	Version        uint64          `json:"version"`       // rises whenever the list is published or confirmed
-	ChangedVersion uint64          `json:"changed"`       // Version when the list itself was last published
+	Version        uint64          `json:"version"`       // log index of the last publication or confirmation
+	ChangedVersion uint64          `json:"changed"`       // log index of the last publication
 	Token          uint64          `json:"token"`         // of the owner that published it
-	DiscoveryIndex int64           `json:"index"`         // discovery's number of the list
+	DiscoveryIndex int64           `json:"index"`         // discovery's version number of the list
 	Raw            json.RawMessage `json:"raw,omitempty"` // in discovery's format
 }
 
-// PendingExport is what the owner has to export next.
+// PendingExport is the next export work of the owner.
 type PendingExport struct {
 	Grant        lease.Grant         `json:"grant"`
 	DuePeriod    uint64              `json:"due"`    // the next period that needs an intent, 0 for none
-	IntentPeriod uint64              `json:"period"` // of the open intent, 0 for none
-	IntentToken  uint64              `json:"token"`  // of the open intent
-	Rows         []ledger.Row        `json:"rows"`   // of the open intent
+	IntentPeriod uint64              `json:"period"` // period of the open intent, 0 for none
+	IntentToken  uint64              `json:"token"`  // token under which the intent was proposed
+	Rows         []ledger.Row        `json:"rows"`   // frozen rows of the open intent
 	Corrections  []PendingCorrection `json:"fixes"`
 }
 
@@ -73,7 +75,7 @@
 func (m *Machine) Read(raw []byte) (any, error) {
 	var query Query
 	if err := json.Unmarshal(raw, &query); err != nil {
-		return nil, fmt.Errorf("a query that does not decode: %w", err)
+		return nil, fmt.Errorf("decoding query: %w", err)
 	}
 	switch query.Kind {
 	case "":
@@ -91,10 +93,10 @@
 		}
 		return view, nil
 	}
-	return nil, fmt.Errorf("%q is no question", query.Kind)
+	return nil, fmt.Errorf("unknown query kind %q", query.Kind)
 }
 
-// pendingExport returns what the owner has to do next. It aliases the state.
+// pendingExport returns the next export work of the owner. The result aliases the state.
 func (m *Machine) pendingExport() PendingExport {
 	corrections := m.state.PendingCorrections[:min(len(m.state.PendingCorrections), maxCorrectionsPerExport)]
 	next := PendingExport{Grant: m.grant(), Corrections: corrections}
@@ -106,7 +108,7 @@
 	return next
 }
 
-// View returns the state beside the ledger.
+// View returns the state without the ledger.
 func (m *Machine) View() View {
 	view := View{
 		Grant:              m.grant(),
--- a/internal/cluster/groupstate/snapshot.go
+++ b/internal/cluster/groupstate/snapshot.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// snapshotFormat is the version of the format; a snapshot of another one is not read.
+	// snapshotFormat is the version of the format; Restore rejects snapshots of any other version.
 	snapshotFormat = 1
-	// kindSnapshot is the first byte of a snapshot. One from before there were leases and exports is the
-	// ledger's alone, and begins with another byte.
+	// kindSnapshot is the first byte of a snapshot. Snapshots written before leases and exports existed contain
+	// only the ledger and begin with another byte.
 	kindSnapshot = 'M'
 )
 
-// snapshot is the stored form, see package logcodec.
+// snapshot is the stored form of a Machine, with its fields in this order, see package logcodec.
 type snapshot struct {
 	Format       int
 	AppliedIndex uint64
@@ -25,7 +25,7 @@
 	Ledger       []byte
 }
 
-// Snapshot encodes the full state. Equal states give equal bytes.
+// Snapshot encodes the complete state. Equal states give equal bytes.
 func (m *Machine) Snapshot() []byte {
 	encoded := logcodec.EncodeCanonical(&snapshot{
 		Format:       snapshotFormat,
@@ -37,20 +37,20 @@
 	return append([]byte{kindSnapshot}, encoded...)
 }
 
-// Restore replaces the state by that of a snapshot. A snapshot that can't be read changes nothing.
+// Restore replaces the state with that of a snapshot. If it returns an error, the state is unchanged.
 func (m *Machine) Restore(data []byte) error {
 	if len(data) == 0 {
-		return errors.New("an empty snapshot")
+		return errors.New("snapshot is empty")
 	}
 	if data[0] != kindSnapshot {
 		return m.restoreLedgerOnly(data)
 	}
 	var stored snapshot
 	if err := logcodec.Decode(data[1:], &stored); err != nil {
-		return fmt.Errorf("a snapshot that does not decode: %w", err)
+		return fmt.Errorf("decoding snapshot: %w", err)
 	}
 	if stored.Format != snapshotFormat {
-		return fmt.Errorf("a snapshot of the group of format %d; this program reads %d", stored.Format,
+		return fmt.Errorf("snapshot of the group has format %d, this version reads only %d", stored.Format,
 			snapshotFormat)
 	}
 	if err := m.Ledger.Restore(stored.Ledger); err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// restoreLedgerOnly restores a snapshot from before there were leases and exports.
+// restoreLedgerOnly restores a snapshot that was written before leases and exports existed.
 func (m *Machine) restoreLedgerOnly(data []byte) error {
 	if err := m.Ledger.Restore(data); err != nil {
 		return err
--- a/internal/cluster/groupstate/snapshot_test.go
+++ b/internal/cluster/groupstate/snapshot_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A snapshot of the ledger alone, from before there were leases and exports, is restored; a truncated or
-// newer one is not, and changes nothing.
+// A snapshot that contains only the ledger, from before leases and exports existed, is restored. A truncated
+// snapshot and one of a newer format are rejected; the truncated ones change nothing.
 func TestOnlyReadableSnapshotsAreRestored(t *testing.T) {
 	l := newTestLog(t)
 	l.addPeriod(5)
@@ -21,16 +21,16 @@
 	before, _ := json.Marshal(old.View())
 	for n := range len(full) {
 		if old.Restore(full[:n]) == nil {
-			t.Fatalf("a snapshot of %d bytes was restored", n)
+			t.Fatalf("a snapshot truncated to %d bytes was restored", n)
 		}
 	}
 	if now, _ := json.Marshal(old.View()); !bytes.Equal(now, before) {
-		t.Errorf("%s became %s", before, now)
+		t.Errorf("truncated snapshots changed the view from %s to %s", before, now)
 	}
 	newer := *l.machine
 	if raw := newer.Snapshot(); raw[0] != kindSnapshot || raw[2] != snapshotFormat {
 		t.Fatalf("% x", raw[:8])
 	} else if raw[2] = snapshotFormat + 1; old.Restore(raw) == nil {
-		t.Error("a newer format was read")
+		t.Error("a snapshot of a newer format was restored")
 	}
 }
--- a/internal/cluster/lease/candidate.go
+++ b/internal/cluster/lease/candidate.go
@@ -14,8 +14,8 @@
 // owner until that lease expires, until Resign, or until it observes a grant to another member. A grant under
 // its own name that it only observes may belong to an earlier incarnation and doesn't make it the owner.
 //
-// Invariants: at most one command of NextProposal is in flight; the latest known grant is never replaced by an
-// older one; expiresAt is at most TTL after the proposal of the command that granted the lease.
+// Invariants: at most one command of NextProposal is in flight; the latest known grant is never replaced by
+// an older one; expiresAt is at most TTL after the proposal of the command that granted the lease.
 //
 // The values of now passed to its methods must not decrease. It is not safe for concurrent use.
 type Candidate struct {
@@ -64,9 +64,9 @@
 
 // NextProposal returns the command that this member should propose now, false if there is none. A lease
 // holder renews once a third of its lease has passed, and retries until the renewal is granted or the lease
-// has expired. Another member acquires a role that is free, or whose grant hasn't been renewed for the takeover
-// delay. The command counts as proposed at now; HandleResult or HandleNoResult must be called before
-// NextProposal returns another one.
+// has expired. Another member acquires a role that is free, or whose grant hasn't been renewed for the
+// takeover delay. The command counts as proposed at now; HandleResult or HandleNoResult must be called
+// before NextProposal returns another one.
 func (c *Candidate) NextProposal(now time.Duration) (Command, bool) {
 	if !c.observed || c.inFlight != nil {
 		return Command{}, false
@@ -100,8 +100,8 @@
 	return Command{Op: Release, Role: c.role, Member: c.name, Expected: c.grant}, true
 }
 
-// HandleResult records the result of the command in flight and does nothing if there is none. A lease that the
-// result grants starts at the time at which the command was proposed.
+// HandleResult records the result of the command in flight and does nothing if there is none. A lease that
+// the result grants starts at the time at which the command was proposed.
 func (c *Candidate) HandleResult(now time.Duration, result Result) {
 	if c.inFlight == nil {
 		return
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -6,8 +6,9 @@
 	"cresshub/internal/testbed/goldenfile"
 )
 
-// Package groupstate encodes the lease commands for the log and the grants for its snapshot, and has the golden
-// files of both. The files here hold what is encoded as JSON, the numbers of the operations and the header.
+// Package groupstate encodes the lease commands for the log and the grants for its snapshot, and has the
+// golden files of both. The files here hold what is encoded as JSON, the numbers of the operations and the
+// header.
 func TestGoldenGrantsAreReadAndWrittenByteForByte(t *testing.T) {
 	g := Grant{Holder: "odori-1", Token: 12, Renewals: 13}
 	goldenfile.CheckJSON(t, "grant.json", g)
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -3,20 +3,20 @@
 // (Kleppmann, "How to do distributed locking", 2016; Chubby calls it a sequencer).
 //
 // The package is pure: no I/O, clock, goroutines or locks; callers serialize their calls. The caller passes
-// the time of its monotonic clock as a duration since an origin of its choice. Clocks of different members may
-// run fast or slow by Settings.Drift and are never compared.
+// the time of its monotonic clock as a duration since an origin of its choice. Clocks of different members
+// may run fast or slow by Settings.Drift and are never compared.
 //
-// It has two parts. Table is the replicated state machine: it applies Acquire, Renew and Release in log order,
-// without a clock, each only if it names the current grant (compare-and-set). Candidate is the state of one
-// member that competes for the role: it says whether this member owns the role now, when the member has to
-// renew, and when it may take over from another.
+// It has two parts. Table is the replicated state machine: it applies Acquire, Renew and Release in log
+// order, without a clock, each only if it names the current grant (compare-and-set). Candidate is the state
+// of one member that competes for the role: it says whether this member owns the role now, when the member
+// has to renew, and when it may take over from another.
 //
 // A lease holder measures its lease from the time at which it proposed the command, not from the arrival of
-// the result. Any other member measures from the time at which it observed the grant, which is later, and adds
-// the drift of both clocks to its wait. The holder therefore stops by itself before another member's Acquire
-// can be committed, whichever messages were lost or late and whichever process was paused. A side effect that
-// the holder sent before it stopped may still arrive afterwards; it carries the holder's token, and the
-// receiver rejects tokens lower than the highest that it has received (Fence).
+// the result. Any other member measures from the time at which it observed the grant, which is later, and
+// adds the drift of both clocks to its wait. The holder therefore stops by itself before another member's
+// Acquire can be committed, whichever messages were lost or late and whichever process was paused. A side
+// effect that the holder sent before it stopped may still arrive afterwards; it carries the holder's token,
+// and the receiver rejects tokens lower than the highest that it has received (Fence).
 package lease
 
 import (
@@ -24,9 +24,9 @@
 	"time"
 )
 
-// Settings are the settings of a lease. All members must use the same values: a member with a shorter TTL or a
-// lower Drift than the holder's takes over before the holder has stopped. The defaults are those of the client
-// proxy's configuration.
+// Settings are the settings of a lease. All members must use the same values: a member with a shorter TTL or
+// a lower Drift than the holder's takes over before the holder has stopped. The defaults are those of the
+// client proxy's configuration.
 type Settings struct {
 	// TTL is how long a grant lasts unless it is renewed; 2 s by default. A shorter TTL frees the role of a
 	// failed holder sooner, but puts more commands into the log: a holder renews three times per TTL.
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// clusterModel simulates members whose clocks run at different rates; a log that receives commands late, twice
-// or not at all; replicas that lag behind the log; partitions; pauses of a member between its check of the
-// lease and its side effect; and a receiver with a fence. Time advances in steps of modelStep. All random
-// choices derive from the scenario's seed.
+// clusterModel simulates members whose clocks run at different rates; a log that receives commands late,
+// twice or not at all; replicas that lag behind the log; partitions; pauses of a member between its check of
+// the lease and its side effect; and a receiver with a fence. Time advances in steps of modelStep. All
+// random choices derive from the scenario's seed.
 type clusterModel struct {
 	t                testingT
 	rng              *rand.Rand
@@ -258,8 +258,8 @@
 }
 
 // Under any sequence of grants, renewals, pauses, clock drifts, partitions and lost, late or duplicated
-// messages, two members never own the role at the same time, tokens never fall, and the receiver admits no side
-// effect whose token is lower than one it has admitted before.
+// messages, two members never own the role at the same time, tokens never fall, and the receiver admits no
+// side effect whose token is lower than one it has admitted before.
 func TestNeverTwoOwners(t *testing.T) {
 	pauses, rejected, stale, acquired := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -53,8 +53,8 @@
 }
 
 // Apply applies the command at an index of the log. Indexes must rise from call to call. A command is
-// rejected, and changes nothing, unless it names the current grant, comes from the holder (an Acquire may come
-// from any member), and its role is already known or fits within MaxRoles.
+// rejected, and changes nothing, unless it names the current grant, comes from the holder (an Acquire may
+// come from any member), and its role is already known or fits within MaxRoles.
 func (t *Table) Apply(index uint64, cmd Command) Result {
 	current, known := t.grants[cmd.Role]
 	rejected := Result{Grant: current}
--- a/internal/cluster/leaseholder/golden_test.go
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -14,16 +14,17 @@
 	goldenfile.CheckJSON(t, "page.json", Page{Self: "odori-1", Holder: "susukino-2", Token: 1, Owns: true,
 		OwnedForMS:       6,
 		LeaseRemainingMS: 2,
-		Roles:            []RoleStatus{{Role: "export", SinceLastRunMS: 3, Backlog: 4, Problem: "the sink answered 500"}},
-		Stats: Stats{Grants: 11, Renewals: 12, Losses: 13, Resigned: 14, Calls: 15, RejectedCalls: 16, StaleCommands: 17,
-			FailedCalls: 18, Entries: 19, Duplicates: 20, Resumed: 21},
+		Roles: []RoleStatus{{Role: "export", SinceLastRunMS: 3, Backlog: 4,
+			Problem: "the sink answered 500"}},
+		Stats: Stats{Grants: 11, Renewals: 12, Losses: 13, Resigned: 14, Calls: 15, RejectedCalls: 16,
+			StaleCommands: 17, FailedCalls: 18, Entries: 19, Duplicates: 20, Resumed: 21},
 		Endpoints: &EndpointStatus{FromOwner: true, AgeMS: 31, Version: 32},
 		Store: &groupstate.View{Grant: lease.Grant{Holder: "odori-1", Token: 41, Renewals: 42}, LastExported: 43,
 			IntentPeriod: 44, IntentToken: 45, FinalPeriod: 46, OpenPeriod: 47, Backlog: 48, PendingCorrections: 49,
 			Endpoints: groupstate.EndpointView{Version: 51, ChangedVersion: 52, Token: 53, DiscoveryIndex: 54,
 				Raw: []byte(`{"index":54}`)},
-			Stats: groupstate.Stats{Grants: 61, Stale: 62, Rejected: 63, ExportedPeriods: 64, DroppedPeriods: 65, ExportedCorrections: 66,
-				EndpointLists: 67}},
+			Stats: groupstate.Stats{Grants: 61, Stale: 62, Rejected: 63, ExportedPeriods: 64, DroppedPeriods: 65,
+				ExportedCorrections: 66, EndpointLists: 67}},
 		Problem: "the group has no leader"})
 }
 
--- a/internal/cluster/leaseholder/takeover_test.go
+++ b/internal/cluster/leaseholder/takeover_test.go
@@ -137,7 +137,8 @@
 	for _, leaderless := range []time.Duration{0, election, 2 * election, 4 * election} {
 		limit := maxTakeoverTime(takeoverLease, leaderless)
 		for age := time.Duration(0); age < renewal; age += renewal / 10 {
-			for _, group := range []*groupOutage{{}, {proposalsHang: true}, {commitsInFlight: true}, {proposalsHang: true, commitsInFlight: true}} {
+			for _, group := range []*groupOutage{{}, {proposalsHang: true}, {commitsInFlight: true},
+				{proposalsHang: true, commitsInFlight: true}} {
 				t.Run(fmt.Sprint(leaderless, age, group.proposalsHang, group.commitsInFlight), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						took := measureTakeover(t, group, age, leaderless)
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -60,8 +60,8 @@
 	}
 	if v := p.Store; v != nil {
 		w.println("\nEXPORTED\tSENDING\tMAY BE SENT\tOPEN\tCORRECTIONS\tLIST\tSTALE ENTRIES")
-		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.LastExported, v.IntentPeriod, v.FinalPeriod, v.OpenPeriod, v.PendingCorrections,
-			v.Endpoints.Version, v.Stats.Stale)
+		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.LastExported, v.IntentPeriod, v.FinalPeriod, v.OpenPeriod,
+			v.PendingCorrections, v.Endpoints.Version, v.Stats.Stale)
 	}
 	if l := p.Endpoints; l != nil {
 		from := "discovery"
