--- a/internal/cluster/leaseholder/calls.go
+++ b/internal/cluster/leaseholder/calls.go
@@ -9,9 +9,9 @@
 	"cresshub/internal/cluster/groupstate"
 )
 
-// callFenced makes one call under a token, within a timeout and no longer than the lease lasts. A call that
-// was rejected because of its token ends this member's ownership. The error is ErrNotOwner if no call was
-// made, else that of do.
+// callFenced makes one call under a token, with a timeout that ends no later than the lease. If the call is
+// rejected because of its token, this member's ownership ends. The error is ErrNotOwner if no call was made,
+// otherwise that of do.
 func (r *Runner) callFenced(token uint64, timeout time.Duration, do func(ctx context.Context) error) error {
 	remaining, err := r.checkLease(token)
 	if err != nil {
@@ -38,7 +38,8 @@
 	return err
 }
 
-// ReportRejection says that discovery rejected a call because of its token.
+// ReportRejection records that discovery rejected a call because of its token, and ends this member's
+// ownership under that token.
 func (r *Runner) ReportRejection(token uint64, reason string) {
 	r.updateStats(func(s *Stats) {
 		s.Calls++
@@ -47,9 +48,10 @@
 	r.stepDown(token, reason)
 }
 
-// commit proposes a command of a role under a token. It returns nil if the command was applied, ErrNotOwner
-// if it was not proposed, errStaleToken if the log rejected its token; after another error it may be applied
-// or not.
+// commit proposes a command of a role under a token. It returns nil if the command was accepted, ErrNotOwner
+// if it was not proposed because this member doesn't hold the lease, errStaleToken if the state machine
+// rejected its token, and an error with the reason if it rejected the command otherwise. After any other
+// error the command may or may not have been applied.
 func (r *Runner) commit(token uint64, command []byte) error {
 	remaining, err := r.checkLease(token)
 	if err != nil {
@@ -76,7 +78,7 @@
 	return errors.New(result.Reason)
 }
 
-// query reads from the store within a timeout and decodes the answer into what into points to.
+// query reads from the store within a timeout and decodes the result into target, which is a pointer.
 func (r *Runner) query(timeout time.Duration, query groupstate.Query, target any) error {
 	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -8,43 +8,43 @@
 	"cresshub/internal/cluster/groupstate"
 )
 
-// Feed says where this member's endpoint list comes from.
+// Feed is the origin of this member's endpoint list.
 type Feed struct {
-	FromOwner bool   // from the lease holder, through the store; discovery isn't asked
-	Token     uint64 // carried by calls to discovery, 0 for none
+	FromOwner bool   // the list comes from the lease holder through the store, and discovery isn't asked
+	Token     uint64 // fencing token that calls to discovery carry, 0 for none
 }
 
 // EndpointSource is this member's list of zone servers and its client of discovery.
 type EndpointSource interface {
-	// Feed sets where the list comes from; it returns at once.
+	// Feed sets where the list comes from; it doesn't block.
 	Feed(Feed)
-	// LastSeen returns when the present watch last received something from discovery, zero for never.
+	// LastSeen returns when the current watch last received data from discovery, the zero time for never.
 	LastSeen() time.Time
-	// Index returns discovery's number of the current list, which rises with each change.
+	// Index returns discovery's version number of the current list, which rises with each change.
 	Index() int64
 	// Export encodes the current list in discovery's format; equal lists give equal bytes.
 	Export() ([]byte, error)
-	// Replace takes over a full list.
+	// Replace replaces the list with a complete one in discovery's format.
 	Replace(raw []byte)
 }
 
 // EndpointSync lets one member watch discovery for all: the lease holder publishes its list in the store, and
-// the others follow that, unless it is too old. It has two goroutines of its Runner: runPublisher, which acts
-// while this member holds the lease, and runFollower, which acts on every member.
+// the others use the published list unless it is too old. It has two goroutines of its Runner: runPublisher,
+// which publishes while this member holds the lease, and runFollower, which reads the store on every member.
 type EndpointSync struct {
 	// Source is this member's list and its client of discovery.
 	Source EndpointSource
-	// MaxAge is how long a published list that was not confirmed may be used; 4 s by default. The lease holder
-	// confirms it four times within it. Without a lease holder members ask discovery after MaxAge and Jitter.
+	// MaxAge is how long a published list may be used without a confirmation; 4 s by default. The lease holder
+	// confirms it four times per MaxAge. Without a lease holder, members ask discovery after MaxAge plus Jitter.
 	MaxAge time.Duration
-	// Jitter is added to MaxAge by this member, drawn once between 0 and MaxAge, so that members don't ask
-	// discovery all at once.
+	// Jitter is this member's addition to MaxAge, drawn once between 0 and MaxAge, so that the members don't all
+	// ask discovery at the same time.
 	Jitter time.Duration
-	// PollInterval is the time between reads of the store, and so the most by which a list reaches a member
-	// later than its replica; 250 ms by default.
+	// PollInterval is the time between reads of the store, and so the longest delay from the arrival of a list
+	// in this member's replica to its use; 250 ms by default.
 	PollInterval time.Duration
-	// WatchTimeout is how long a watch on discovery that receives nothing counts as alive. The list of a lease
-	// holder whose watch is broken is neither published nor confirmed.
+	// WatchTimeout is how long a watch on discovery counts as alive without receiving data. A lease holder whose
+	// watch isn't alive neither publishes nor confirms its list.
 	WatchTimeout time.Duration
 
 	runner *Runner
@@ -56,22 +56,23 @@
 	lastRun   time.Time // when the list was last published or confirmed here, zero for never
 	lastError string    // error of the last attempt to publish, "" if it succeeded
 
-	lastPublished  publication // only the publisher uses it
-	appliedVersion uint64      // EndpointView.Changed of the list last applied; only the follower uses it
+	lastPublished  publication // only runPublisher uses it
+	appliedVersion uint64      // EndpointView.ChangedVersion of the list last applied; only runFollower uses it
 }
 
-// publication is what was last published, the zero value if that is unknown.
+// publication is a list that this member published or confirmed. The zero publication, or one whose token is
+// 0, matches no list.
 type publication struct {
 	token     uint64
 	index     int64
 	list      []byte
-	startedAt time.Time
+	startedAt time.Time // when the command was proposed
 }
 
 const (
-	// minReadTimeout is the shortest timeout of a follower's read.
+	// minReadTimeout is the shortest timeout of runFollower's reads.
 	minReadTimeout = 500 * time.Millisecond
-	// maxPublishInterval is the longest time between two looks at whether the list is to be published.
+	// maxPublishInterval is the longest time between two checks whether the list has to be published.
 	maxPublishInterval = 100 * time.Millisecond
 )
 
@@ -81,8 +82,8 @@
 	s.updateFeed()
 }
 
-// updateFeed sets where the list comes from now: for the lease holder from discovery under its token, for
-// others from the store while the list there is fresh, else from discovery without a token.
+// updateFeed sets the current origin of the list: for the lease holder discovery, under its token; for other
+// members the store while the list there is fresh, otherwise discovery without a token.
 func (s *EndpointSync) updateFeed() {
 	owned, owns := s.runner.activeLease()
 	s.mu.Lock()
@@ -121,7 +122,7 @@
 	}
 }
 
-// recordRun keeps the outcome of a publication for the page.
+// recordRun records the outcome of a publication for the status page.
 func (s *EndpointSync) recordRun(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,8 +133,8 @@
 	s.lastError, s.lastRun = "", time.Now()
 }
 
-// publish writes the list to the store if it has changed, and otherwise confirms it once a quarter of MaxAge
-// has passed.
+// publish writes the list to the store if it has changed or was published under another token. Otherwise it
+// confirms the list once a quarter of MaxAge has passed since the last publication or confirmation.
 func (s *EndpointSync) publish(token uint64) error {
 	index := s.Source.Index()
 	unchanged := token == s.lastPublished.token && index == s.lastPublished.index
@@ -150,14 +151,14 @@
 	}
 	startedAt := time.Now()
 	if err := s.runner.commit(token, cmd.Encode()); err != nil {
-		s.lastPublished.token = 0 // the command may be in the log or not: publish the full list next time
+		s.lastPublished.token = 0 // whether the command was committed is unknown: publish the full list next time
 		return err
 	}
 	s.lastPublished = publication{token: token, index: index, list: list, startedAt: startedAt}
 	return nil
 }
 
-// runFollower applies the published list.
+// runFollower applies the published list until the runner is closed.
 func (s *EndpointSync) runFollower() {
 	tick := time.NewTicker(s.PollInterval)
 	defer tick.Stop()
@@ -172,8 +173,8 @@
 	}
 }
 
-// readPublished reads the published list from this member's replica or, if it has none, from the group. The
-// bytes of the list are set only if it has changed since the last one applied. A zero view: none could be
+// readPublished reads the published list from this member's replica or, if it has none, from the group. Raw
+// is set only if the list has changed since the last one applied. The view is zero if the list could not be
 // read.
 func (s *EndpointSync) readPublished() (view groupstate.EndpointView) {
 	query := groupstate.Query{Kind: groupstate.QueryEndpoints, ChangedAfter: s.appliedVersion}
@@ -187,7 +188,8 @@
 	return view
 }
 
-// applyPublished takes over a published list that is new and not behind the one this member has.
+// applyPublished passes a view to the follower and, if that accepts it and the list has changed, replaces
+// this member's list by it. The lease holder keeps its own list.
 func (s *EndpointSync) applyPublished(view groupstate.EndpointView) {
 	if view.Version == 0 {
 		return
@@ -201,7 +203,7 @@
 		return
 	}
 	s.appliedVersion = view.ChangedVersion
-	if !owns { // the lease holder has it from discovery
+	if !owns { // the lease holder gets its list from discovery
 		s.Source.Replace(view.Raw)
 	}
 }
--- a/internal/cluster/leaseholder/entries.go
+++ b/internal/cluster/leaseholder/entries.go
@@ -7,8 +7,8 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// Entry is the usage of one tenant in one period, or one correction, as the billing sink gets it. The sink
-// stores an ID once, however often it is sent.
+// Entry is the usage of one tenant in one period, or one correction, in the format of the billing sink. The
+// sink stores each ID once, however often it is sent.
 type Entry struct {
 	ID     string     `json:"id"`
 	Period uint64     `json:"period"`
@@ -24,14 +24,15 @@
 	ledger.Usage
 }
 
-// SinkReply is the answer of the sink to a call: how many of its entries it stored, and how many it had.
+// SinkReply is the body of the sink's response to a call: how many of the call's entries it stored, and how
+// many it had stored before.
 type SinkReply struct {
 	Stored     int `json:"stored"`
 	Duplicates int `json:"repeated"`
 }
 
-// PeriodEntries returns the entries of a period, one for each tenant, with corrections added in. The rows
-// have to be sorted by tenant, as package ledger returns them.
+// PeriodEntries returns the entries of a period, one per tenant, with corrections added to the usage. The
+// rows must be sorted by tenant, as package ledger returns them.
 func PeriodEntries(period uint64, rows []ledger.Row) []Entry {
 	var entries []Entry
 	for _, row := range rows {
@@ -47,7 +48,7 @@
 	return entries
 }
 
-// correctionEntries returns the entries of corrections, one for each.
+// correctionEntries returns one entry for each correction.
 func correctionEntries(pending []groupstate.PendingCorrection) []Entry {
 	entries := make([]Entry, 0, len(pending))
 	for _, correction := range pending {
--- a/internal/cluster/leaseholder/exactly_once_test.go
+++ b/internal/cluster/leaseholder/exactly_once_test.go
@@ -24,86 +24,87 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// A numbered point is a step of an answer on its way from the client to the billing sink, by one of the
-// processes. Each test of this file plays the same traffic in virtual time, with one fault at one point.
+// Points are the steps of an answer's usage record on its way from the answer to the client to the billing
+// sink. Each passage of a point by a process gets the next number. Every run of the model has the same
+// traffic in virtual time, and at most one fault at one numbered point.
 const (
 	pointAnswered  = "answered"  // the client has its answer, the process has not counted it
-	pointCounted   = "counted"   // in memory
+	pointCounted   = "counted"   // counted in the process's memory
 	pointSealed    = "sealed"    // in a batch that is not in the outbox yet
-	pointStored    = "stored"    // in the outbox, not proposed yet, or proposed again
-	pointCommitted = "committed" // applied by the group, whose result the process has not seen
+	pointStored    = "stored"    // in the outbox, about to be proposed for the first time or again
+	pointCommitted = "committed" // applied by the group, but the process has not received the result
 	pointSending   = "sending"   // the sink is about to be called
-	pointSent      = "sent"      // the sink has stored the entries and its response is not seen
+	pointSent      = "sent"      // stored by the sink, but the process has not received the response
 	pointProposing = "proposing" // a command of the lease holder is about to be proposed
-	pointApplied   = "applied"   // the group has applied it and the holder does not know
+	pointApplied   = "applied"   // that command is applied, but the lease holder has not received the result
 )
 
-// modelLease are the settings of the lease; the group has no elections here.
+// modelLease has the settings of the lease; the model's group has no elections.
 var modelLease = lease.Settings{TTL: 600 * time.Millisecond, Drift: 0.05,
 	ElectionTimeout: 300 * time.Millisecond}
 
-// The intervals share no instant with each other nor with the checks of the lease, so that no two goroutines
-// of a process pass a point at once.
+// The intervals are chosen so that their ticks never coincide with each other or with the checks of the
+// lease: no two goroutines of a process pass a point at the same instant.
 const (
 	answerInterval  = 9013 * time.Microsecond
 	flushInterval   = 53017 * time.Microsecond
 	periodLength    = 200 * time.Millisecond
 	trafficDuration = 700 * time.Millisecond
 	restartDelay    = 300 * time.Millisecond
-	drainTimeout    = time.Minute // of virtual time, until the sink has all
-	faultTimeout    = time.Minute // of virtual time, until a fault is over
+	drainTimeout    = time.Minute // virtual time until the sink must have everything
+	faultTimeout    = time.Minute // virtual time after which endFault assumes that no fault occurs
 )
 
 var errProcessEnded = errors.New("the process has ended")
 
-// processFault is what happens to the process that reaches the point.
+// processFault is the fault of the process that reaches the selected point.
 type processFault string
 
 const (
 	faultNone   processFault = "none"
-	faultKill   processFault = "kill"   // SIGKILL, and a start with the files that are left
-	faultFreeze processFault = "freeze" // SIGSTOP, and SIGCONT three leases later
-	faultTerm   processFault = "term"   // SIGTERM, and a start once the process has ended
+	faultKill   processFault = "kill"   // SIGKILL, then a restart with the files that are left
+	faultFreeze processFault = "freeze" // SIGSTOP, then SIGCONT three leases later
+	faultTerm   processFault = "term"   // SIGTERM, then a restart once the process has ended
 )
 
-// exportModel is the group's state, the sink, and the processes before them. A process that passes the point
-// with the number of the fault gets the fault.
+// exportModel simulates the group's state, the sink, and the processes that use them. The process that passes
+// the point with number faultAt gets the fault.
 type exportModel struct {
-	t            *testing.T
-	store        *memoryStore
-	sink         *proxystandin.Sink
-	fault        processFault
-	faultAt      int // number of the point, from 1 on
-	trafficEnded chan struct{}
-	faulted      chan struct{}
+	t        *testing.T
+	store    *memoryStore
+	sink     *proxystandin.Sink
+	fault    processFault
+	faultAt  int           // number of the point at which the fault occurs, from 1
+	runEnded chan struct{} // closed once the totals were checked; ends closePeriods
+	faulted  chan struct{} // closed once the fault has occurred
 
 	mu           sync.Mutex
-	passedPoints []string // the points
-	faultPoint   string   // what was reached as the fault came
-	answersGiven int64    // answers that clients got
-	answersLost  int64    // of them: not in the outbox of the process that was killed
+	passedPoints []string // in the order in which they were passed, by any process
+	faultPoint   string   // point at which the fault occurred, "" if it did not
+	answersGiven int64    // answers that clients received
+	answersLost  int64    // those of them that were in no outbox when their process was killed
 	members      []*modelMember
 }
 
-// modelMember is a process and those that follow it under its name.
+// modelMember is a member of the fleet, whose process may be replaced by a restart.
 type modelMember struct {
 	model   *exportModel
 	name    string
 	process *modelProcess
 }
 
-// modelProcess is one process of a member.
+// modelProcess is one process of a member, from its start to its end.
 type modelProcess struct {
 	member   *modelMember
 	dir      string
 	recorder *pending.Recorder
 	runner   *Runner
 
-	// The world's lock guards these.
-	resumed     chan struct{} // closed once a process that was frozen or killed goes on; nil for one that runs
+	// The model's lock guards the following fields.
+	resumed     chan struct{} // closed at the end of a freeze or kill; nil while the process runs
 	killed      bool
-	terminating bool  // after SIGTERM: no client reaches it any more
-	uncounted   int64 // answered and not counted
+	terminating bool  // it received SIGTERM and takes no more requests
+	uncounted   int64 // answers that are not counted yet
 }
 
 // start starts the next process of a member with the files in dir.
@@ -139,80 +140,82 @@
 	return m.process
 }
 
-// passPoint passes a point. It returns an error once the process is killed, and at the end of the test at the
-// latest; while the process is frozen it waits.
+// passPoint records that the process passes a point, and injects the fault if it is due there. While the
+// process is frozen it blocks. It returns errProcessEnded if the process was killed; a killed process blocks
+// until the next process of its member has started.
 func (p *modelProcess) passPoint(point string) error {
-	w := p.member.model
-	w.mu.Lock()
-	ended := p.awaitRunningLocked(w)
+	em := p.member.model
+	em.mu.Lock()
+	ended := p.awaitRunningLocked(em)
 	if ended {
-		w.mu.Unlock()
+		em.mu.Unlock()
 		return errProcessEnded
 	}
-	w.passedPoints = append(w.passedPoints, point)
-	due := len(w.passedPoints) == w.faultAt && w.fault != faultNone
+	em.passedPoints = append(em.passedPoints, point)
+	due := len(em.passedPoints) == em.faultAt && em.fault != faultNone
 	if due {
-		w.faultPoint = point
-		p.injectFaultLocked(w)
+		em.faultPoint = point
+		p.injectFaultLocked(em)
 	}
-	w.mu.Unlock()
+	em.mu.Unlock()
 	if !due {
 		return nil
 	}
-	close(w.faulted)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if p.awaitRunningLocked(w) {
+	close(em.faulted)
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	if p.awaitRunningLocked(em) {
 		return errProcessEnded
 	}
 	return nil
 }
 
-// awaitRunningLocked waits until the process runs; true if it is killed. It releases the world's lock meanwhile.
-func (p *modelProcess) awaitRunningLocked(w *exportModel) (ended bool) {
+// awaitRunningLocked waits until the process runs, and reports whether it was killed instead. It releases the
+// model's lock while it waits.
+func (p *modelProcess) awaitRunningLocked(em *exportModel) (ended bool) {
 	for p.resumed != nil {
-		gate := p.resumed
-		w.mu.Unlock()
-		<-gate
-		w.mu.Lock()
+		resumed := p.resumed
+		em.mu.Unlock()
+		<-resumed
+		em.mu.Lock()
 		if p.killed {
 			return true
 		}
-		if p.resumed == gate {
+		if p.resumed == resumed {
 			p.resumed = nil
 		}
 	}
 	return false
 }
 
-// injectFaultLocked stops the process. Of one that is killed it keeps the files, and how many answers are in no
-// file.
-func (p *modelProcess) injectFaultLocked(w *exportModel) {
-	if w.fault == faultTerm {
+// injectFaultLocked injects the fault into the process. For a killed process it copies the outbox for the
+// restart, and sets answersLost to the number of answers that are in no file.
+func (p *modelProcess) injectFaultLocked(em *exportModel) {
+	if em.fault == faultTerm {
 		p.terminating = true
 		return
 	}
 	p.resumed = make(chan struct{})
-	if w.fault != faultKill {
+	if em.fault != faultKill {
 		return
 	}
 	p.killed = true
-	w.answersLost = p.recorder.Stats().InMemory + p.uncounted
-	dir := w.t.TempDir()
+	em.answersLost = p.recorder.Stats().InMemory + p.uncounted
+	dir := em.t.TempDir()
 	raw, err := os.ReadFile(filepath.Join(p.dir, "outbox.db"))
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "outbox.db"), raw, 0o600)
 	}
 	if err != nil {
-		w.t.Error(err)
+		em.t.Error(err)
 	}
 	p.dir = dir
 }
 
-// Sync is called before each write of the outbox.
+// Sync is called before each write of the outbox (pending.Options.Faults).
 func (p *modelProcess) Sync() error { return p.passPoint(pointSealed) }
 
-// proposeBatch proposes a batch of counts.
+// proposeBatch proposes a batch of usage counts.
 func (p *modelProcess) proposeBatch(_ context.Context, batch []byte) (ledger.Result, error) {
 	if err := p.passPoint(pointStored); err != nil {
 		return ledger.Result{}, err
@@ -233,7 +236,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// What is sent arrives, whatever became of its sender meanwhile.
+	// A request that was sent reaches the sink, even if its sender has ended in the meantime.
 	response := httptest.NewRecorder()
 	sent := httptest.NewRequest(request.Method, request.URL.String(), bytes.NewReader(body))
 	sent.Header = request.Header
@@ -244,7 +247,7 @@
 	return response.Result(), nil
 }
 
-// modelStore is a process's way to the group's state.
+// modelStore is the group's state as one process reaches it.
 type modelStore struct {
 	memberStore
 	process *modelProcess
@@ -275,90 +278,92 @@
 	return s.memberStore.Peek(query)
 }
 
-// awaitRunning waits while the process is frozen, at no point that is numbered.
+// awaitRunning blocks while the process is frozen or killed and passes no point. It returns errProcessEnded
+// if the process was killed.
 func (p *modelProcess) awaitRunning() error {
-	w := p.member.model
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if p.awaitRunningLocked(w) {
+	em := p.member.model
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	if p.awaitRunningLocked(em) {
 		return errProcessEnded
 	}
 	return nil
 }
 
-// answerClient gives a client one answerClient.
+// answerClient gives a client one answer and counts it.
 func (m *modelMember) answerClient(number int) {
-	w, p := m.model, m.currentProcess()
+	em, p := m.model, m.currentProcess()
 	if p.awaitRunning() != nil {
-		return // the client reaches nobody
+		return // the process was killed: the client gets no answer
 	}
-	w.mu.Lock()
+	em.mu.Lock()
 	if p.terminating {
-		w.mu.Unlock()
+		em.mu.Unlock()
 		return
 	}
-	w.answersGiven++
+	em.answersGiven++
 	p.uncounted++
-	w.mu.Unlock()
+	em.mu.Unlock()
 	if p.passPoint(pointAnswered) != nil {
 		return
 	}
 	key := ledger.Key{Tenant: []string{"ramen-kita", "soup-curry-chuo"}[number%2], Class: "zone-lookup",
 		Answer: "passed"}
-	w.mu.Lock()
+	em.mu.Lock()
 	p.uncounted--
 	p.recorder.Count(key, uint64(number+1), 1, 2)
-	w.mu.Unlock()
-	_ = p.passPoint(pointCounted) // one that is killed here has counted
+	em.mu.Unlock()
+	_ = p.passPoint(pointCounted) // a process that is killed here has already counted
 }
 
-// endFault ends the fault: a killed process is started again, a frozen one continues.
-func (w *exportModel) endFault() {
-	if w.fault == faultNone {
+// endFault waits for the fault and ends it: a killed or terminated process is restarted, a frozen one
+// resumes.
+func (em *exportModel) endFault() {
+	if em.fault == faultNone {
 		return
 	}
 	select {
-	case <-w.faulted:
+	case <-em.faulted:
 	case <-time.After(faultTimeout):
-		return // there are fewer points than that
+		return // fewer than faultAt points were passed
 	}
-	for _, m := range w.members {
+	for _, m := range em.members {
 		stopped := m.currentProcess()
-		w.mu.Lock()
-		gate, killed, ending, dir := stopped.resumed, stopped.killed, stopped.terminating, stopped.dir
-		w.mu.Unlock()
+		em.mu.Lock()
+		resumed, killed, terminating, dir := stopped.resumed, stopped.killed, stopped.terminating, stopped.dir
+		em.mu.Unlock()
 		switch {
-		case ending:
+		case terminating:
 			stopped.awaitCounted()
-			stopped.shutDown(w.t)
+			stopped.shutDown(em.t)
 			m.start(dir)
-		case gate == nil:
+		case resumed == nil:
 		case killed:
 			time.Sleep(restartDelay)
 			m.start(dir)
-			close(gate)
-			stopped.shutDown(w.t)
+			close(resumed)
+			stopped.shutDown(em.t)
 		default:
 			time.Sleep(frozenLeases * modelLease.TTL)
-			close(gate)
+			close(resumed)
 		}
 	}
 }
 
-// frozenLeases is how many leases a process is frozen.
+// frozenLeases is the duration of a freeze, in TTLs of the lease.
 const frozenLeases = 3
 
-// awaitCounted waits until the process has counted what it has answered, as the shutdown of a proxy does.
+// awaitCounted waits until the process has counted all its answers, as the shutdown of a proxy does.
 func (p *modelProcess) awaitCounted() {
-	w := p.member.model
+	em := p.member.model
 	for counted := false; !counted; time.Sleep(time.Millisecond) {
-		w.mu.Lock()
+		em.mu.Lock()
 		counted = p.uncounted == 0
-		w.mu.Unlock()
+		em.mu.Unlock()
 	}
 }
 
-// shutDown ends a process.
+// shutDown closes the runner and the recorder of a process.
 func (p *modelProcess) shutDown(t *testing.T) {
 	t.Helper()
 	p.runner.Close()
@@ -367,27 +372,27 @@
 	}
 }
 
-// closePeriods closes the ledger's periods until the end.
-func (w *exportModel) closePeriods() {
+// closePeriods closes the ledger's open period every periodLength until runEnded is closed.
+func (em *exportModel) closePeriods() {
 	for {
 		select {
-		case <-w.trafficEnded:
+		case <-em.runEnded:
 			return
 		case <-time.After(periodLength):
 		}
-		w.store.mu.Lock()
-		open := w.store.machine.Ledger.OpenPeriod()
-		w.store.mu.Unlock()
-		w.store.apply((&ledger.ClosePeriod{Period: open, AtMS: 1}).Encode())
+		em.store.mu.Lock()
+		open := em.store.machine.Ledger.OpenPeriod()
+		em.store.mu.Unlock()
+		em.store.apply((&ledger.ClosePeriod{Period: open, AtMS: 1}).Encode())
 	}
 }
 
-// totals returns how many answers the ledger and the sink have.
-func (w *exportModel) totals() (counted, exported int64) {
-	w.store.mu.Lock()
-	counted = w.store.machine.Ledger.Read(ledger.Query{}).Stats.Answers
-	w.store.mu.Unlock()
-	for _, entry := range w.sink.Entries() {
+// totals returns the number of answers in the ledger and in the sink.
+func (em *exportModel) totals() (counted, exported int64) {
+	em.store.mu.Lock()
+	counted = em.store.machine.Ledger.Read(ledger.Query{}).Stats.Answers
+	em.store.mu.Unlock()
+	for _, entry := range em.sink.Entries() {
 		for _, line := range entry.Lines {
 			exported += line.Count
 		}
@@ -395,61 +400,63 @@
 	return counted, exported
 }
 
-// runModel plays the traffic with one fault. It returns the points that were passed until its end, and the
-// one at which the fault came.
+// runModel runs the traffic with one fault at the point with number at. It returns the points that were
+// passed by the end of the traffic, and the one at which the fault occurred.
 func runModel(t *testing.T, fault processFault, at int) (points []string, hit string) {
 	t.Helper()
-	w := &exportModel{t: t, store: newMemoryStore(t), sink: proxystandin.NewSink(), fault: fault, faultAt: at,
-		trafficEnded: make(chan struct{}), faulted: make(chan struct{})}
+	em := &exportModel{t: t, store: newMemoryStore(t), sink: proxystandin.NewSink(), fault: fault, faultAt: at,
+		runEnded: make(chan struct{}), faulted: make(chan struct{})}
 	for _, name := range []string{"a", "b"} {
-		member := &modelMember{model: w, name: name}
+		member := &modelMember{model: em, name: name}
 		member.start(t.TempDir())
-		w.members = append(w.members, member)
+		em.members = append(em.members, member)
 	}
 	var goroutines sync.WaitGroup
-	goroutines.Go(w.closePeriods)
-	goroutines.Go(w.endFault)
+	goroutines.Go(em.closePeriods)
+	goroutines.Go(em.endFault)
 	number := 0
 	for started := time.Now(); time.Since(started) < trafficDuration; time.Sleep(answerInterval) {
-		for _, member := range w.members {
+		for _, member := range em.members {
 			member.answerClient(number)
 			number++
 		}
 	}
-	w.mu.Lock()
-	points, hit = w.passedPoints, w.faultPoint
-	w.mu.Unlock()
-	w.checkTotals()
-	close(w.trafficEnded)
+	em.mu.Lock()
+	points, hit = em.passedPoints, em.faultPoint
+	em.mu.Unlock()
+	em.checkTotals()
+	close(em.runEnded)
 	goroutines.Wait()
-	for _, member := range w.members {
+	for _, member := range em.members {
 		member.currentProcess().shutDown(t)
 	}
 	return points, hit
 }
 
-// checkTotals waits until the sink has what it must have: each answer once, but for those that a process which was
-// killed had in no file.
-func (w *exportModel) checkTotals() {
-	w.t.Helper()
+// checkTotals waits until the ledger and the sink have each answer that was given exactly once, except those
+// that were in no file when their process was killed. It fails the test if that takes longer than
+// drainTimeout.
+func (em *exportModel) checkTotals() {
+	em.t.Helper()
 	var counted, exported int64
 	for started := time.Now(); time.Since(started) < drainTimeout; time.Sleep(periodLength) {
-		counted, exported = w.totals()
-		w.mu.Lock()
-		want := w.answersGiven - w.answersLost
-		w.mu.Unlock()
-		if counted == want && exported == want && slices.IndexFunc(w.members, (*modelMember).hasUncommitted) < 0 {
+		counted, exported = em.totals()
+		em.mu.Lock()
+		want := em.answersGiven - em.answersLost
+		em.mu.Unlock()
+		if counted == want && exported == want && slices.IndexFunc(em.members, (*modelMember).hasUncommitted) < 0 {
 			break
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if want := w.answersGiven - w.answersLost; counted != want || exported != want {
-		w.t.Errorf("%s at point %d (%s): of %d answers, %d of them in no file of a killed process, the ledger "+
-			"counts %d and the sink has %d", w.fault, w.faultAt, w.faultPoint, w.answersGiven, w.answersLost, counted, exported)
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	if want := em.answersGiven - em.answersLost; counted != want || exported != want {
+		em.t.Errorf("%s at point %d (%s): of %d answers, %d of them in no file of a killed process, the ledger "+
+			"counts %d and the sink has %d", em.fault, em.faultAt, em.faultPoint, em.answersGiven,
+			em.answersLost, counted, exported)
 	}
-	if _, _, err := w.sink.Audit(); err != nil {
-		w.t.Errorf("%s at point %d (%s): %v", w.fault, w.faultAt, w.faultPoint, err)
+	if _, _, err := em.sink.Audit(); err != nil {
+		em.t.Errorf("%s at point %d (%s): %v", em.fault, em.faultAt, em.faultPoint, err)
 	}
 }
 
@@ -459,18 +466,20 @@
 	return stats.InMemory+stats.Queued > 0
 }
 
-// pointsBetweenFaults is how many points of single answers lie between two that get a fault.
+// pointsBetweenFaults is the number of points among which one gets a fault if it is a point of a single
+// answer.
 const pointsBetweenFaults = 15
 
-// Each answer that a client got is in the sink once, whatever happens to a process at whichever point, but
-// for those that a process which is killed has in memory alone; and it has told those as such.
+// Each answer that a client received is in the sink exactly once, whichever fault a process suffers at
+// whichever point. The only exception are answers that a killed process had only in memory; their number
+// must be the one that its recorder reported as not stored.
 func TestEachAnswerIsExportedOnce(t *testing.T) {
 	var points []string
 	synctest.Test(t, func(t *testing.T) { points, _ = runModel(t, faultNone, 0) })
 	for _, fault := range []processFault{faultKill, faultFreeze, faultTerm} {
 		hits := map[string]int{}
 		for i, point := range points {
-			// Most points are those of single answers, and alike.
+			// Most points belong to single answers and are equivalent: test one in pointsBetweenFaults.
 			if (point == pointAnswered || point == pointCounted) && i%pointsBetweenFaults > 0 {
 				continue
 			}
@@ -483,7 +492,7 @@
 		for _, point := range []string{pointAnswered, pointCounted, pointSealed, pointStored, pointCommitted,
 			pointSending, pointSent, pointProposing, pointApplied} {
 			if hits[point] == 0 {
-				t.Errorf("%s: no fault at the point %q: %v", fault, point, hits)
+				t.Errorf("%s: no fault occurred at the point %q: %v", fault, point, hits)
 			}
 		}
 		t.Logf("%s: %v", fault, hits)
--- a/internal/cluster/leaseholder/exporter.go
+++ b/internal/cluster/leaseholder/exporter.go
@@ -18,20 +18,21 @@
 	"cresshub/internal/cluster/lease"
 )
 
-// Exporter sends the ledger's periods to a billing sink while this member holds the lease: POST /entries with
-// a JSON array of Entry and the token in lease.TokenHeader. It has one goroutine of its Runner, which takes
-// one step after the other: the intent of a period, its entries, its end, and then pending corrections.
+// Exporter sends the ledger's periods to a billing sink while this member holds the lease: POST /entries
+// with a JSON array of Entry and the token in lease.TokenHeader. It has one goroutine of its Runner, which
+// performs one step at a time: it commits the intent of a period, sends its entries, commits that they are
+// done, and sends pending corrections once no period is due.
 type Exporter struct {
 	// SinkAddress is the host:port of the billing sink.
 	SinkAddress string
-	// CallTimeout bounds one call, as the end of the lease does, and one read of the ledger; 1 s by default.
+	// CallTimeout bounds one call, which also ends with the lease, and one read of the store; 1 s by default.
 	CallTimeout time.Duration
-	// BatchSize is the most entries in one call; 100 by default. At least 1.
+	// BatchSize is the maximum number of entries in one call; 100 by default. At least 1.
 	BatchSize int
 
 	runner         *Runner
 	client         http.Client
-	announcedToken uint64 // the sink has seen this token; only run's goroutine uses it
+	announcedToken uint64 // last token that the sink has acknowledged; only run's goroutine uses it
 
 	mu        sync.Mutex
 	lastRun   time.Time // when the last run succeeded, zero for never
@@ -39,9 +40,9 @@
 }
 
 const (
-	// maxExportBackoff bounds the backoff after runs that failed.
+	// maxExportBackoff bounds the backoff after failed runs.
 	maxExportBackoff = 2 * time.Second
-	// maxReplyBytes bounds what is read of the sink's reply.
+	// maxReplyBytes bounds the bytes read of the sink's response body.
 	maxReplyBytes = 64 << 10
 )
 
@@ -82,10 +83,11 @@
 	}
 }
 
-// lostLease reports whether an error only says that this member doesn't hold the lease any more.
+// lostLease reports whether an error means that this member no longer holds the lease.
 func lostLease(err error) bool { return errors.Is(err, ErrNotOwner) || errors.Is(err, errStaleToken) }
 
-// recordRun keeps the outcome of a run for the page, and logs the first failure in a row.
+// recordRun records the outcome of a run for the status page, and logs the first of consecutive failures. It
+// ignores runs that ended because the lease was lost.
 func (e *Exporter) recordRun(err error) {
 	if lostLease(err) {
 		return
@@ -104,8 +106,9 @@
 	}
 }
 
-// exportNext takes the next step of the export under a token; more says that there may be another. The first
-// call under a token carries no entries: from then on the sink rejects what an earlier owner has in flight.
+// exportNext performs the next step of the export under a token; more means that another step may be due. The
+// first call under a token carries no entries: once the sink has received the token, it rejects calls that an
+// earlier owner still has in flight.
 func (e *Exporter) exportNext(token uint64) (more bool, err error) {
 	if err := e.announceToken(token); err != nil {
 		return false, err
@@ -113,7 +116,7 @@
 	var next groupstate.PendingExport
 	query := groupstate.Query{Kind: groupstate.QueryPendingExport}
 	if err := e.runner.query(e.CallTimeout, query, &next); err != nil {
-		return false, fmt.Errorf("the ledger could not be read: %w", err)
+		return false, fmt.Errorf("reading the pending export: %w", err)
 	}
 	self := e.runner.opts.Name
 	if next.Grant.Token != token || next.Grant.Holder != self {
@@ -131,27 +134,27 @@
 	return false, nil
 }
 
-// exportPeriod sends the period of the open intent and records that the sink has it.
+// exportPeriod sends the period of the open intent and commits that the sink has acknowledged it.
 func (e *Exporter) exportPeriod(token uint64, next *groupstate.PendingExport) (more bool, err error) {
 	if err := e.sendPeriod(token, next); err != nil {
-		return false, fmt.Errorf("period %d: %w", next.IntentPeriod, err)
+		return false, fmt.Errorf("sending period %d: %w", next.IntentPeriod, err)
 	}
 	done := groupstate.ExportDone{Member: e.runner.opts.Name, Token: token, Period: next.IntentPeriod}
 	return true, e.runner.commit(token, done.Encode())
 }
 
-// exportCorrections sends corrections, at least one, and records that the sink has them.
+// exportCorrections sends at least one correction and commits that the sink has acknowledged them.
 func (e *Exporter) exportCorrections(token uint64, corrections []groupstate.PendingCorrection) (more bool,
 	err error) {
 	if err := e.sendBatches(token, correctionEntries(corrections)); err != nil {
-		return false, fmt.Errorf("corrections: %w", err)
+		return false, fmt.Errorf("sending corrections: %w", err)
 	}
 	upTo := corrections[len(corrections)-1].Seq
 	exported := groupstate.CorrectionsExported{Member: e.runner.opts.Name, Token: token, UpToSeq: upTo}
 	return true, e.runner.commit(token, exported.Encode())
 }
 
-// announceToken shows a token to the sink unless it has seen it.
+// announceToken sends a token to the sink without entries, unless the sink has acknowledged this token.
 func (e *Exporter) announceToken(token uint64) error {
 	if e.announcedToken == token {
 		return nil
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// sendPeriod sends the period of the open intent, which may be an earlier owner's.
+// sendPeriod sends the period of the open intent, which an earlier owner may have proposed.
 func (e *Exporter) sendPeriod(token uint64, next *groupstate.PendingExport) error {
 	if next.IntentToken != token {
 		e.runner.updateStats(func(s *Stats) { s.Resumed++ })
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// sendBatch makes one call to the sink.
+// sendBatch sends entries to the sink in one call and checks its response.
 func (e *Exporter) sendBatch(token uint64, entries []Entry) error {
 	if entries == nil {
 		entries = []Entry{} // encoded as [], not as null
@@ -203,7 +206,7 @@
 // sinkResponse is the sink's response to a call.
 type sinkResponse struct {
 	status int
-	body   []byte // at most maxReplyBytes of it
+	body   []byte // its first maxReplyBytes at most
 }
 
 // post makes one call and returns the sink's response, whatever its status.
@@ -224,21 +227,21 @@
 	return sinkResponse{resp.StatusCode, reply}, err
 }
 
-// checkResponse checks the sink's response to a call with that many entries, and counts them. It returns
-// errStaleToken if the sink has seen a newer token.
+// checkResponse checks the sink's response to a call with that many entries, and counts the entries. It
+// returns errStaleToken if the sink has received a newer token.
 func (e *Exporter) checkResponse(resp sinkResponse, entries int) error {
 	text := strings.TrimSpace(string(resp.body))
 	switch resp.status {
 	case http.StatusOK:
 	case http.StatusConflict:
-		return fmt.Errorf("%w: the sink says %.200q", errStaleToken, text)
+		return fmt.Errorf("%w: sink responded %.200q", errStaleToken, text)
 	default:
-		return fmt.Errorf("the sink answered %d: %.200q", resp.status, text)
+		return fmt.Errorf("sink returned status %d: %.200q", resp.status, text)
 	}
 	var reply SinkReply
 	err := json.Unmarshal(resp.body, &reply)
 	if err != nil || reply.Stored < 0 || reply.Duplicates < 0 || reply.Stored+reply.Duplicates != entries {
-		return fmt.Errorf("the sink's answer to %d entries makes no sense: %.200q", entries, resp.body)
+		return fmt.Errorf("sink's response does not account for the %d entries sent: %.200q", entries, resp.body)
 	}
 	e.runner.updateStats(func(s *Stats) {
 		s.Entries += int64(entries)
--- a/internal/cluster/leaseholder/faults_test.go
+++ b/internal/cluster/leaseholder/faults_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// A call is held while the file of the faults is the one that it found, and what is beside it names that one.
+// A call is blocked while the fault file keeps the content that the call found, and the file with
+// BlockedSuffix has the same content.
 func TestFileFaultsBlockCallsUntilTheFileChanges(t *testing.T) {
 	faults := FileFaults{filepath.Join(t.TempDir(), "calls")}
-	faults.BeforeCall() // no file holds nothing
+	faults.BeforeCall() // does not block without a file
 	for _, fault := range []string{"first", "second"} {
 		if err := os.WriteFile(faults.Path, []byte(fault), 0o600); err != nil {
 			t.Fatal(err)
@@ -26,12 +27,12 @@
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatal("no call is held")
+				t.Fatal("no call was blocked within 20 s")
 			}
 		}
 		select {
 		case <-released:
-			t.Errorf("the call goes on while the file says %s", fault)
+			t.Errorf("the call continued while the file contained %s", fault)
 		default:
 		}
 		if err := os.Remove(faults.Path); err != nil {
--- a/internal/cluster/leaseholder/golden_test.go
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -28,7 +28,8 @@
 		Problem: "the group has no leader"})
 }
 
-// What the billing sink is sent, and what it answers. An entry's id must stay: the sink knows repeats by it.
+// The entries sent to the billing sink and the sink's reply. The IDs of entries must never change, as the
+// sink recognizes duplicates by them.
 func TestGoldenEntriesOfTheSinkAreReadAndWrittenByteForByte(t *testing.T) {
 	key := ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
 	sent := PeriodEntries(7, []ledger.Row{{Key: key, Usage: ledger.Usage{Count: 100, BytesIn: 200,
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -15,13 +15,13 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// memoryStore is the replicated state in this process; members may be partitioned from it.
+// memoryStore is an in-memory substitute for the replicated state; members may be partitioned from it.
 type memoryStore struct {
 	mu          sync.Mutex
 	machine     *groupstate.Machine
 	index       uint64
 	partitioned map[string]bool
-	readOnly    map[string]bool // members whose commands get lost, so that they never own the lease
+	readOnly    map[string]bool // members whose commands are lost, so that they can't acquire the lease
 }
 
 func newMemoryStore(t *testing.T) *memoryStore {
@@ -40,7 +40,7 @@
 	return s.applyLocked(b)
 }
 
-// applyCountingStale is apply, and returns by how much the count of stale commands rose with this one.
+// applyCountingStale applies a command and also returns by how much it raised the count of stale commands.
 func (s *memoryStore) applyCountingStale(b []byte) (raw json.RawMessage, counted int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	return raw
 }
 
-// addPeriod counts n answers of two tenants and closes the period.
+// addPeriod counts n answers for each of two tenants and closes the period.
 func (s *memoryStore) addPeriod(n int64) {
 	s.mu.Lock()
 	p := s.machine.Ledger.OpenPeriod()
@@ -75,7 +75,7 @@
 	return s.machine.View()
 }
 
-// setPartitioned cuts members off from the store, or connects them again.
+// setPartitioned partitions members from the store, or ends their partition.
 func (s *memoryStore) setPartitioned(on bool, members ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// setReadOnly has all commands of a member get lost, while it still reads the store.
+// setReadOnly makes all further commands of a member get lost, while its reads still succeed.
 func (s *memoryStore) setReadOnly(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 	name string
 }
 
-var errUnreachable = errors.New("cut off")
+var errUnreachable = errors.New("partitioned from the store")
 
 func (s memberStore) unreachable() bool {
 	s.mu.Lock()
@@ -136,7 +136,7 @@
 	return v, err == nil
 }
 
-// fakeSource is a member's endpoint list; its watch on discovery is alive while it is asked.
+// fakeSource is an EndpointSource whose watch on discovery is alive whenever the list comes from discovery.
 type fakeSource struct {
 	mu       sync.Mutex
 	feed     Feed
@@ -180,25 +180,27 @@
 		panic(err) // the lists of these tests are numbers
 	}
 }
-func (s *fakeSource) state() (feed Feed, taken []string) {
+
+func (s *fakeSource) state() (feed Feed, replaced []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.feed, s.replaced
 }
 
-// waitTimeout bounds every wait of a test; no verdict depends on how much of it is used.
+// waitTimeout bounds every wait of a test; it affects no result other than when a failing test gives up.
 const waitTimeout = 20 * time.Second
 
 var (
-	// shortLease is for tests that wait until a lease ends. It also ends where this process is stalled: a test
-	// that uses it accepts that a member loses the lease and acquires it again.
+	// shortLease is for tests that wait until a lease expires. It also expires if the test process is stalled: a
+	// test that uses it must accept that a member loses the lease and acquires it again.
 	shortLease = lease.Settings{TTL: 200 * time.Millisecond, Drift: 0.05, ElectionTimeout: 50 * time.Millisecond}
-	// longLease is for tests in which a member keeps the lease, also where this process is stalled for five
-	// seconds: what is left of it after a renewal that is due is more.
+	// longLease is for tests in which a member must keep the lease even if the test process is stalled for five
+	// seconds: when a renewal becomes due, more than that remains of the lease.
 	longLease = lease.Settings{TTL: 9 * time.Second, Drift: 0.05, ElectionTimeout: 50 * time.Millisecond}
 )
 
-// startRunner runs a member: with an Exporter if sink is set, with an EndpointSync if list is.
+// startRunner starts a member's Runner, with an Exporter if sink is not empty and an EndpointSync if list is
+// not nil.
 func startRunner(t *testing.T, s *memoryStore, settings lease.Settings, name, sink string,
 	list *fakeSource) *Runner {
 	t.Helper()
@@ -233,25 +235,25 @@
 	t.Fatalf("%s: %v", what, err)
 }
 
-// awaitLease waits until a member owns the lease, and returns it as it was then.
+// awaitLease waits until a member holds the lease, and returns that lease.
 func awaitLease(t *testing.T, r *Runner) (owned ownedLease) {
 	t.Helper()
-	eventually(t, r.opts.Name+" owns", func() error {
+	eventually(t, r.opts.Name+" acquires the lease", func() error {
 		var owns bool
 		if owned, owns = r.activeLease(); !owns {
-			return errors.New("it does not own the lease")
+			return errors.New("it does not hold the lease")
 		}
 		return nil
 	})
 	return owned
 }
 
-// exportSetup is a lease holder "a" that exports a store's ledger to a sink.
+// exportSetup is a lease holder named "a" that exports a store's ledger to a sink.
 type exportSetup struct {
 	sink   *proxystandin.Sink
 	store  *memoryStore
 	holder *Runner
-	lease  ownedLease // the first of the holder
+	lease  ownedLease // the holder's first lease
 }
 
 func startExportingHolder(t *testing.T, settings lease.Settings) exportSetup {
--- a/internal/cluster/leaseholder/maintain.go
+++ b/internal/cluster/leaseholder/maintain.go
@@ -10,14 +10,14 @@
 	"cresshub/internal/cluster/lease"
 )
 
-// now is the monotonic clock of package lease.
+// now returns the time of the candidate's monotonic clock.
 func (r *Runner) now() time.Duration { return time.Since(r.start) }
 
-// minCheckInterval is the least time between two looks at the lease.
+// minCheckInterval is the shortest time between two checks of the lease.
 const minCheckInterval = 5 * time.Millisecond
 
-// checkInterval is the time between two looks at the lease: often enough that the third of a lease in which
-// it is to be renewed is not missed.
+// checkInterval returns the time between two checks of the lease: a fortieth of the TTL, so that a renewal,
+// which is due after a third of the lease, begins in time.
 func (r *Runner) checkInterval() time.Duration { return max(r.opts.Lease.TTL/40, minCheckInterval) }
 
 // maintainLease acquires and renews the lease until Close.
@@ -50,7 +50,7 @@
 	r.candidate.Observe(r.now(), grant)
 }
 
-// nextProposal is the candidate's, false within a backoff after a command that failed.
+// nextProposal returns the candidate's next proposal, false during the backoff after a failed command.
 func (r *Runner) nextProposal() (lease.Command, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +60,7 @@
 	return r.candidate.NextProposal(r.now())
 }
 
-// propose commits a command of the lease and passes its result to the candidate.
+// propose proposes a lease command to the store and passes its result to the candidate.
 func (r *Runner) propose(cmd lease.Command) {
 	ctx, cancel := context.WithTimeout(r.ctx, r.opts.Lease.TTL)
 	defer cancel()
@@ -83,8 +83,8 @@
 	r.reportTransition()
 }
 
-// reportTransition counts and logs whether the lease was acquired or lost since the last call, and wakes the
-// publisher once it was acquired.
+// reportTransition counts and logs the acquisition or loss of the lease since the last call, and wakes the
+// publisher of the endpoint list after an acquisition.
 func (r *Runner) reportTransition() {
 	change := r.recordTransition()
 	switch {
@@ -101,14 +101,15 @@
 	}
 }
 
-// transition is what became of this member's lease between two calls of recordTransition.
+// transition is the change of this member's lease between two calls of recordTransition.
 type transition struct {
 	token    uint64 // of the lease that this member holds now, 0 for none
-	previous uint64 // of the one that it held at the last call, 0 for none
+	previous uint64 // of the lease that it held at the last call, 0 for none
 	grant    lease.Grant
 }
 
-// recordTransition sets activeToken to the present, and counts the change if there is one.
+// recordTransition sets reportedToken to the token of the current lease, and counts the change if there is
+// one.
 func (r *Runner) recordTransition() transition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,8 +129,8 @@
 	return change
 }
 
-// resign gives up the lease at once and releases it in the log, so that another member need not wait for it
-// to expire.
+// resign ends this member's ownership immediately and releases the lease in the log, so that another member
+// need not wait until the lease expires.
 func (r *Runner) resign(reason string) {
 	r.mu.Lock()
 	cmd, ok := r.candidate.Resign()
@@ -150,10 +151,10 @@
 	}
 }
 
-// ownedLease is the lease as this member holds it at a moment. The zero ownedLease is none.
+// ownedLease is a snapshot of the lease that this member holds. The zero ownedLease means that it holds none.
 type ownedLease struct {
 	token     uint64        // fencing token, above 0
-	remaining time.Duration // until the lease ends unless it is renewed
+	remaining time.Duration // time until the lease expires unless it is renewed
 }
 
 // activeLease returns the lease that this member holds now; false if it holds none.
@@ -167,7 +168,8 @@
 	return ownedLease{token: r.candidate.Token(), remaining: r.candidate.Remaining(now)}, true
 }
 
-// checkLease returns how long the lease with that token lasts, ErrNotOwner if this member doesn't hold it.
+// checkLease returns the time until the lease with that token expires, ErrNotOwner if this member doesn't
+// hold that lease.
 func (r *Runner) checkLease(token uint64) (remaining time.Duration, err error) {
 	owned, ok := r.activeLease()
 	if !ok || owned.token != token {
@@ -176,10 +178,11 @@
 	return owned.remaining, nil
 }
 
-// stepDown ends this member's ownership after something under a token was rejected as stale.
+// stepDown ends this member's ownership after a call or command under a token was rejected as stale, unless
+// the member holds a lease with another token by now.
 func (r *Runner) stepDown(token uint64, reason string) {
 	r.opts.Log.Warn("owner: call rejected, another member holds the lease", "token", token, "why", reason)
 	if _, err := r.checkLease(token); err == nil {
-		r.resign("refused: " + reason)
+		r.resign("token rejected: " + reason)
 	}
 }
--- a/internal/cluster/leaseholder/page.go
+++ b/internal/cluster/leaseholder/page.go
@@ -6,13 +6,13 @@
 	"cresshub/internal/cluster/groupstate"
 )
 
-// Page is what /_owner shows. Its JSON names are those of the operators' page.
+// Page is the status page at /_owner.
 type Page struct {
 	Self             string           `json:"self"`
 	Holder           string           `json:"holder"`             // as known here; "" if nobody holds the lease
 	Token            uint64           `json:"token"`              // of the lease
 	Owns             bool             `json:"here"`               // this member holds the lease
-	OwnedForMS       int64            `json:"owned_ms,omitempty"` // for how long this member has held the lease
+	OwnedForMS       int64            `json:"owned_ms,omitempty"` // time since this member acquired the lease
 	LeaseRemainingMS int64            `json:"lease_left_ms"`
 	Roles            []RoleStatus     `json:"roles"`
 	Stats            Stats            `json:"figures"`
@@ -21,28 +21,28 @@
 	Problem          string           `json:"problem,omitempty"` // why Store could not be read
 }
 
-// RoleStatus is the state of one role, as its owner sees it.
+// RoleStatus is the state of one role on this member.
 type RoleStatus struct {
 	Role           string `json:"role"`        // roleExport or roleEndpoints
-	SinceLastRunMS int64  `json:"last_run_ms"` // how long ago it last succeeded on this member, -1 for never
+	SinceLastRunMS int64  `json:"last_run_ms"` // time since its last success on this member, -1 for never
 	Backlog        int    `json:"backlog"`     // periods and corrections that wait for their export
 	Problem        string `json:"problem,omitempty"`
 }
 
-// EndpointStatus says where this member's endpoint list comes from.
+// EndpointStatus is the origin and age of this member's endpoint list.
 type EndpointStatus struct {
 	FromOwner bool   `json:"held"`    // from the lease holder, not from discovery
 	AgeMS     int64  `json:"age_ms"`  // since this member observed the last publication
-	Version   uint64 `json:"version"` // groupstate.EndpointView.Version of that
+	Version   uint64 `json:"version"` // groupstate.EndpointView.Version of that publication
 }
 
-// Names of the roles, as settings and pages have them.
+// Names of the roles, as in the settings and on the status page.
 const (
 	roleExport    = "export"
 	roleEndpoints = "list"
 )
 
-// pageReadTimeout bounds the read of the store; the page has to answer within a second.
+// pageReadTimeout bounds the read of the store, as the page must be served within a second.
 const pageReadTimeout = 700 * time.Millisecond
 
 // Page returns the state of the roles. It reads the store linearizably, which takes up to pageReadTimeout.
@@ -73,7 +73,7 @@
 	return page
 }
 
-// addRoles adds the state of this member's roles to a page that says whether this member owns them.
+// addRoles adds the state of this member's roles to a page whose Owns is set.
 func (r *Runner) addRoles(page *Page, view *groupstate.View) {
 	if exporter := r.opts.Export; exporter != nil {
 		status := exporter.roleStatus()
@@ -85,7 +85,7 @@
 		status := endpoints.endpointStatus()
 		page.Endpoints = &status
 	}
-	if !page.Owns { // a problem from when this member was the owner may be over
+	if !page.Owns { // an error from this member's time as the owner may be outdated
 		for i := range page.Roles {
 			page.Roles[i].Problem = ""
 		}
@@ -111,7 +111,7 @@
 	return EndpointStatus{s.feed.FromOwner, age.Milliseconds(), s.follower.Version()}
 }
 
-// millisSince returns how long ago t was in ms, -1 for the zero time.
+// millisSince returns the time since t in ms, -1 for the zero time.
 func millisSince(t time.Time) int64 {
 	if t.IsZero() {
 		return -1
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -13,16 +13,16 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// The next owner resumes an export with the same bytes; corrections of a period that was sent are sent on
-// their own; and a process releases the lease at its end.
+// The next owner resumes an open export and sends the same entries; a correction of a period that was already
+// frozen is sent as an entry of its own; and a runner releases the lease when it is closed.
 func TestNextOwnerResumesTheExport(t *testing.T) {
 	setup := startExportingHolder(t, longLease)
 	sink, s, a := setup.sink, setup.store, setup.holder
 	s.addPeriod(5)
-	eventually(t, "period 1", func() error { return checkExported(s, 1) })
-	sink.SetFault(proxystandin.SinkFault{Reset: true}) // the sink stores and a does not hear of it
+	eventually(t, "period 1 exported", func() error { return checkExported(s, 1) })
+	sink.SetFault(proxystandin.SinkFault{Reset: true}) // the sink stores the entries but resets the connection
 	s.addPeriod(7)
-	eventually(t, "period 2 begun", func() error {
+	eventually(t, "first entries of period 2 stored", func() error {
 		if len(sink.Entries()) < 3 {
 			return fmt.Errorf("%d entries", len(sink.Entries()))
 		}
@@ -32,12 +32,12 @@
 		Class: "zone-lookup", Answer: "passed"}, Usage: ledger.Usage{Count: -1}, Reason: "asked for"}).Encode())
 	a.Close()
 	if v := s.view(); v.Grant.Holder != "" || v.IntentPeriod != 2 {
-		t.Fatalf("after its end %+v", v)
+		t.Fatalf("after a was closed the view is %+v", v)
 	}
 	sink.SetFault(proxystandin.SinkFault{})
 	b := startRunner(t, s, longLease, "b", sink.Address(), nil)
-	eventually(t, "period 2", func() error { return checkExported(s, 2) })
-	eventually(t, "the correction", func() error {
+	eventually(t, "period 2 exported", func() error { return checkExported(s, 2) })
+	eventually(t, "correction exported", func() error {
 		if _, ok := sink.Entries()["2/correction/late"]; !ok || s.view().PendingCorrections > 0 {
 			return fmt.Errorf("%+v", s.view())
 		}
@@ -45,7 +45,7 @@
 	})
 	e := sink.Entries()["2/ramen-kita"]
 	if len(e.Lines) != 1 || e.Lines[0].Count != 7 || e.Lines[0].BytesIn != 14 || len(sink.Entries()) != 5 {
-		t.Errorf("%+v of %d", e, len(sink.Entries()))
+		t.Errorf("entry %+v, one of %d", e, len(sink.Entries()))
 	}
 	if _, _, err := sink.Audit(); err != nil {
 		t.Error(err)
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// A lease holder that is partitioned from the store stops before its lease has ended: it makes no more calls,
-// and its commands are rejected as stale.
+// A lease holder that is partitioned from the store no longer owns the lease once another member has acquired
+// it: it makes no more calls, and its commands are rejected as stale.
 func TestPartitionedHolderStopsBeforeItsLeaseEnds(t *testing.T) {
 	setup := startExportingHolder(t, shortLease)
 	sink, s, a, old := setup.sink, setup.store, setup.holder, setup.lease
@@ -71,12 +71,12 @@
 	s.setPartitioned(true, "a")
 	awaitLease(t, b)
 	if _, ok := a.activeLease(); ok {
-		t.Error("two own the lease")
+		t.Error("two members own the lease")
 	}
 	s.addPeriod(1)
-	eventually(t, "b exports", func() error { return checkExported(s, 1) })
+	eventually(t, "period 1 exported by b", func() error { return checkExported(s, 1) })
 	if err := a.opts.Export.sendBatch(old.token, nil); !errors.Is(err, ErrNotOwner) {
-		t.Errorf("a sends: %v", err)
+		t.Errorf("call by a after its lease: %v, want ErrNotOwner", err)
 	}
 	stale := &groupstate.ExportDone{Member: "a", Token: old.token, Period: 1}
 	raw, counted := s.applyCountingStale(stale.Encode())
@@ -102,7 +102,7 @@
 		"no entries":              {200, `{"stored":0,"repeated":0}`, 0, false, false},
 		"fewer entries than sent": {200, `{"stored":1,"repeated":1}`, 3, false, true},
 		"a negative number":       {200, `{"stored":4,"repeated":-1}`, 3, false, true},
-		"no JSON":                 {200, `stored`, 0, false, true},
+		"invalid JSON":            {200, `stored`, 0, false, true},
 		"a redirect":              {302, ``, 0, false, true},
 		"a stale token":           {409, "fencing token 1 is older than 2", 0, true, true},
 		"an error of the sink":    {500, "oh", 0, false, true},
@@ -116,61 +116,62 @@
 	}
 }
 
-// The lease holder's list reaches the others, who do not ask discovery; without a lease holder they ask, and
-// follow again once there is one.
+// Members use the lease holder's endpoint list and don't ask discovery. Without a lease holder they ask
+// discovery, and they use the published list again once there is a holder and its list isn't older than
+// theirs.
 func TestMembersFollowTheOwnersEndpointList(t *testing.T) {
 	s := newMemoryStore(t)
-	s.setReadOnly("b") // or it would own the lease where this process is stalled for longer than a lease
+	s.setReadOnly("b") // else it could acquire the lease if this process is stalled for longer than a lease
 	one, two := &fakeSource{index: 1, raw: "1"}, &fakeSource{}
 	a := startRunner(t, s, shortLease, "a", "", one)
 	awaitLease(t, a)
 	b := startRunner(t, s, shortLease, "b", "", two)
 	eventually(t, "b has the list", func() error {
-		f, taken := two.state()
-		if published := int(a.Page().Stats.Grants); !f.FromOwner || len(taken) == 0 || len(taken) > published ||
-			slices.ContainsFunc(taken, func(raw string) bool { return raw != "1" }) {
-			return fmt.Errorf("%+v %v, published %d times", f, taken, published)
+		f, lists := two.state()
+		if published := int(a.Page().Stats.Grants); !f.FromOwner || len(lists) == 0 || len(lists) > published ||
+			slices.ContainsFunc(lists, func(raw string) bool { return raw != "1" }) {
+			return fmt.Errorf("%+v %v, published %d times", f, lists, published)
 		}
 		return nil
 	})
-	eventually(t, "the owner is fed by discovery", func() error {
+	eventually(t, "the owner's list comes from discovery", func() error {
 		if f, _ := one.state(); f.FromOwner || f.Token == 0 {
 			return fmt.Errorf("%+v", f)
 		}
 		return nil
 	})
 	one.Replace([]byte("2"))
-	eventually(t, "a change", func() error {
-		if _, taken := two.state(); taken[len(taken)-1] != "2" {
-			return fmt.Errorf("%v", taken)
+	eventually(t, "b has the changed list", func() error {
+		if _, lists := two.state(); lists[len(lists)-1] != "2" {
+			return fmt.Errorf("%v", lists)
 		}
 		return nil
 	})
 	s.setPartitioned(true, "a", "b")
 	for _, m := range []*fakeSource{one, two} {
-		eventually(t, "without an owner each asks", func() error {
+		eventually(t, "without an owner each member asks discovery", func() error {
 			if f, _ := m.state(); f != (Feed{}) {
 				return fmt.Errorf("%+v", f)
 			}
 			return nil
 		})
 	}
-	two.Replace([]byte("3")) // b heard of a change by itself: a list from before is not taken
+	two.Replace([]byte("3")) // b has a newer list than the owner publishes, which it must not replace
 	s.setPartitioned(false, "a")
 	awaitLease(t, a)
 	s.setPartitioned(false, "b")
 	time.Sleep(100 * time.Millisecond)
-	if f, taken := two.state(); f.FromOwner || taken[len(taken)-1] != "3" {
-		t.Errorf("b, ahead of the owner, is fed by %+v and taken %v", f, taken)
+	if f, lists := two.state(); f.FromOwner || lists[len(lists)-1] != "3" {
+		t.Errorf("b, whose list is newer than the owner's, has the feed %+v and replaced its list by %v", f, lists)
 	}
 	one.Replace([]byte("4"))
-	eventually(t, "b follows again", func() error {
-		if f, taken := two.state(); !f.FromOwner || taken[len(taken)-1] != "4" {
-			return fmt.Errorf("%+v %v", f, taken)
+	eventually(t, "b uses the published list again", func() error {
+		if f, lists := two.state(); !f.FromOwner || lists[len(lists)-1] != "4" {
+			return fmt.Errorf("%+v %v", f, lists)
 		}
 		return nil
 	})
-	eventually(t, "b's page says so", func() error {
+	eventually(t, "b's page shows the owner's list", func() error {
 		if p := b.Page(); p.Endpoints == nil || !p.Endpoints.FromOwner || p.Owns {
 			return fmt.Errorf("%+v", p)
 		}
--- a/internal/cluster/leaseholder/takeover_test.go
+++ b/internal/cluster/leaseholder/takeover_test.go
@@ -14,36 +14,37 @@
 	"cresshub/internal/cluster/lease"
 )
 
-// takeoverLease are the settings of the tests of clusterrig.
+// takeoverLease has the settings of the tests of package clusterrig.
 var takeoverLease = lease.Settings{TTL: 600 * time.Millisecond, Drift: 0.05,
 	ElectionTimeout: 300 * time.Millisecond}
 
-// maxTakeoverTime is the longest time from a fault of the lease holder to its successor's lease, by its parts,
-// where the group commits nothing for leaderless after the fault.
+// maxTakeoverTime returns the longest possible time from a fault of the lease holder to its successor's
+// lease, as the sum of its parts, if the group commits nothing for the duration leaderless after the fault.
 func maxTakeoverTime(settings lease.Settings, leaderless time.Duration) time.Duration {
 	ttl := float64(settings.TTL)
-	// The next leader may commit a renewal that was in flight: the lease lasts from then on.
+	// Either the next leader commits a renewal that was in flight, from which the takeover delay is measured.
 	renewed := time.Duration(ttl * (1 + settings.Drift) / (1 - settings.Drift))
-	// Or the lease has ended meanwhile, and a proposal that hung is repeated.
+	// Or the lease has expired during the outage, and a proposal that hung times out and is retried after the
+	// backoff and its jitter.
 	repeated := settings.TTL + settings.TTL/10 + settings.TTL/20
-	// A member looks at the renewal, at the end of the lease and after the backoff.
-	looks := 3 * max(settings.TTL/40, minCheckInterval)
-	return leaderless + max(renewed, repeated) + looks
+	// A member checks the lease periodically: to see the renewal, the end of the lease and that of the backoff.
+	checks := 3 * max(settings.TTL/40, minCheckInterval)
+	return leaderless + max(renewed, repeated) + checks
 }
 
-// groupOutage is the group's state while its leader is unavailable.
+// groupOutage is the state of a group that loses its leader for some time.
 type groupOutage struct {
 	*memoryStore
-	proposalsHang   bool // proposals meet no answer, not an error
-	commitsInFlight bool // the next leader commits what was in flight
+	proposalsHang   bool // proposals of other members hang until their timeout instead of failing immediately
+	commitsInFlight bool // the next leader commits the holder's renewal that was in flight
 
 	mu       sync.Mutex
-	active   bool
-	ended    chan struct{}
-	inFlight []byte // the holder's renewal
+	active   bool          // the group has no leader
+	ended    chan struct{} // closed once the takeover has happened; ends the holder's proposals
+	inFlight []byte        // the holder's renewal
 }
 
-// outageStore is a member's way to the group.
+// outageStore is the group's state as one member reaches it.
 type outageStore struct {
 	memberStore
 	group  *groupOutage
@@ -54,16 +55,16 @@
 
 func (s outageStore) Propose(ctx context.Context, command []byte) (json.RawMessage, error) {
 	s.group.mu.Lock()
-	lasts, healed := s.group.active, s.group.ended
-	if lasts && s.holder {
+	active, ended := s.group.active, s.group.ended
+	if active && s.holder {
 		s.group.inFlight = command
 	}
 	s.group.mu.Unlock()
 	switch {
-	case !lasts:
+	case !active:
 		return s.memberStore.Propose(ctx, command)
 	case s.holder:
-		<-healed // it is frozen, or all that it hears is late
+		<-ended // the failed holder is frozen, or gets every response late
 		return nil, errNoLeader
 	case s.group.proposalsHang:
 		<-ctx.Done()
@@ -72,7 +73,7 @@
 	return nil, errNoLeader
 }
 
-// end ends the outage.
+// end ends the outage: the group has a leader again.
 func (o *groupOutage) end() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -82,8 +83,8 @@
 	}
 }
 
-// measureTakeover has the holder fail after age, with a group that commits nothing for leaderless from then on.
-// It returns how long it took until another member held the lease.
+// measureTakeover makes the holder fail at the given age of its lease, and the group commit nothing for the
+// duration leaderless from then on. It returns the time from the fault until another member holds the lease.
 func measureTakeover(t *testing.T, group *groupOutage, age, leaderless time.Duration) time.Duration {
 	t.Helper()
 	group.memoryStore, group.ended = newMemoryStore(t), make(chan struct{})
@@ -108,7 +109,7 @@
 	group.mu.Lock()
 	group.active = true
 	group.mu.Unlock()
-	group.setReadOnly("a") // what it proposes from now on is lost, but for the one in flight
+	group.setReadOnly("a") // its proposals from now on are lost, except the one in flight
 	began := time.Now()
 	time.Sleep(leaderless)
 	group.end()
@@ -128,8 +129,8 @@
 	return took
 }
 
-// A successor holds the lease within the sum of what it has to wait for, whenever the holder fails between
-// two renewals, however long the group has no leader, and whether proposals fail at once or hang meanwhile.
+// A successor acquires the lease within maxTakeoverTime: whenever the holder fails between two renewals,
+// however long the group has no leader, and whether proposals fail immediately or hang during the outage.
 func TestTakeoverTimeIsBounded(t *testing.T) {
 	renewal := takeoverLease.TTL / 3
 	worst := map[time.Duration]time.Duration{}
@@ -143,17 +144,17 @@
 					synctest.Test(t, func(t *testing.T) {
 						took := measureTakeover(t, group, age, leaderless)
 						if took > limit {
-							t.Errorf("it took %v, the parts are %v", took, limit)
+							t.Errorf("the takeover took %v, above the bound %v", took, limit)
 						}
 						worst[leaderless] = max(worst[leaderless], took)
 					})
 				})
 			}
 		}
-		t.Logf("without a leader for %v: %v at most, the parts are %v", leaderless, worst[leaderless], limit)
+		t.Logf("without a leader for %v: longest takeover %v, bound %v", leaderless, worst[leaderless], limit)
 	}
-	// What docs/owner.md demands of a quiet machine is a lease and a second, with one election on the way.
+	// docs/owner.md requires a takeover within one TTL plus a second on an idle machine, including one election.
 	if limit := takeoverLease.TTL + time.Second; worst[2*election] > limit {
-		t.Errorf("%v with one election, %v at most is wanted", worst[2*election], limit)
+		t.Errorf("longest takeover with one election is %v, above the bound %v", worst[2*election], limit)
 	}
 }
