--- a/internal/cluster/groupstate/machine.go
+++ b/internal/cluster/groupstate/machine.go
@@ -11,8 +11,8 @@
 // A period is exported in three steps: an ExportIntent, which freezes the rows to send; the calls to the
 // sink; and an ExportDone. If an owner leaves an intent open, the next owner resumes it and sends the same
 // bytes under the same IDs, so that the sink recognizes duplicates. Periods are exported in ascending order,
-// each as soon as no late answer can be counted in it any more. A correction that arrives after the intent
-// of its period is exported as an entry of its own.
+// each only once late answers can no longer be counted in it. A correction that arrives after the intent of
+// its period is exported as an entry of its own.
 package groupstate
 
 import (
@@ -52,7 +52,7 @@
 	EndpointLists       int64 `json:"lists"`   // endpoint lists published or confirmed
 }
 
-// Machine is the state machine of a group. Use New.
+// Machine is the state machine of a group. Create it with New.
 //
 // The export of the ledger is a cycle: no export is open and nextDuePeriod is the next period; an
 // ExportIntent opens its export and freezes its rows; an ExportDone ends it and makes it the last period
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -39,7 +39,8 @@
 	ElectionTimeout time.Duration
 }
 
-// maxDrift is the exclusive upper bound of Drift: with it a clock would stand still beside another.
+// maxDrift is the exclusive upper bound of Drift: at 0.5 the drift of two clocks within a TTL adds up to the
+// whole TTL.
 const maxDrift = 0.5
 
 // Check returns an error if the settings can't prevent two members from owning a role at the same time.
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -23,9 +23,9 @@
 	partitionedUntil []time.Duration // by member: it can't reach the log until then
 	table            *Table
 	logIndex         uint64
-	grantLog         []Grant         // the grant after each entry
+	grantLog         []Grant         // current grant after each log entry
 	committedAt      []time.Duration // when that entry was committed
-	observedCount    []int           // of the log, by member
+	observedCount    []int           // number of log entries observed, by member
 	replicationLag   []time.Duration // by member
 	inFlight         []proposalInFlight
 	results          []resultInFlight
@@ -33,6 +33,8 @@
 	fence            Fence
 	scenario         scenario
 
+	// Counts of the run: pauses between an owner's check of the lease and its side effect; side effects that the
+	// fence rejected; side effects that it admitted with a token below the highest; Acquire commands applied.
 	pausedOwners, rejectedEffects, staleEffects, acquisitions int
 }
 
--- a/internal/cluster/leaseholder/exactly_once_test.go
+++ b/internal/cluster/leaseholder/exactly_once_test.go
@@ -466,8 +466,8 @@
 	return stats.InMemory+stats.Queued > 0
 }
 
-// pointsBetweenFaults is the number of points among which one gets a fault if it is a point of a single
-// answer.
+// pointsBetweenFaults thins out the points of single answers: only those whose index is a multiple of it get
+// a fault.
 const pointsBetweenFaults = 15
 
 // Each answer that a client received is in the sink exactly once, whichever fault a process suffers at
