--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// Once an export has begun, the ledger retains unexported periods beyond Settings.MaxPeriods.
+// Once an export has begun, the ledger retains unexported periods beyond ledger.Settings.MaxPeriods.
 func TestUnexportedPeriodsAreRetained(t *testing.T) {
 	l := newTestLog(t)
 	for range 10 {
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -30,8 +30,8 @@
 		got = *c
 		return Result{Status: StatusAccepted}
 	}
-	held := goldenfile.CheckBytes(t, name, raw)
-	result := decodeAndApply(newTestLog(t).machine, held, read)
+	golden := goldenfile.CheckBytes(t, name, raw)
+	result := decodeAndApply(newTestLog(t).machine, golden, read)
 	goldenfile.CheckDecoded(t, name, result, Result{Status: StatusAccepted})
 	goldenfile.CheckDecoded(t, name, got, want)
 }
@@ -43,8 +43,8 @@
 	checkGoldenEntry(t, "intent.bin", intent, intent.Encode())
 	done := ExportDone{Member: "odori-1", Token: 301, Period: 70_001}
 	checkGoldenEntry(t, "done.bin", done, done.Encode())
-	settled := CorrectionsExported{Member: "odori-1", Token: 302, UpToSeq: 70_002}
-	checkGoldenEntry(t, "settled.bin", settled, settled.Encode())
+	corrections := CorrectionsExported{Member: "odori-1", Token: 302, UpToSeq: 70_002}
+	checkGoldenEntry(t, "settled.bin", corrections, corrections.Encode())
 	list := PublishEndpointList{Member: "odori-1", Token: 303, DiscoveryIndex: 70_003,
 		Raw: []byte(`{"index":70003}`)}
 	checkGoldenEntry(t, "list.bin", list, list.Encode())
@@ -64,7 +64,7 @@
 
 // Each golden entry is applied as the command that its first byte, the kind, names.
 func TestGoldenEntriesAreAppliedByKind(t *testing.T) {
-	held := func(name string) []byte {
+	golden := func(name string) []byte {
 		raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 		if err != nil {
 			t.Fatal(err)
@@ -74,29 +74,29 @@
 	m := newTestLog(t).machine
 	grants := map[string]lease.Grant{FleetRole: goldenGrant}
 	m.leases.Restore(grants)
-	goldenfile.CheckDecoded(t, "renew.bin", m.Apply(50, held("renew.bin")),
+	goldenfile.CheckDecoded(t, "renew.bin", m.Apply(50, golden("renew.bin")),
 		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 12, Renewals: 14}}))
 	m.leases.Restore(grants)
-	goldenfile.CheckDecoded(t, "take.bin", m.Apply(51, held("take.bin")),
+	goldenfile.CheckDecoded(t, "take.bin", m.Apply(51, golden("take.bin")),
 		any(lease.Result{Applied: true, Grant: lease.Grant{Holder: "odori-1", Token: 51}}))
 	m.leases.Restore(grants)
-	goldenfile.CheckDecoded(t, "release.bin", m.Apply(52, held("release.bin")),
+	goldenfile.CheckDecoded(t, "release.bin", m.Apply(52, golden("release.bin")),
 		any(lease.Result{Applied: true, Grant: lease.Grant{Token: 12, Renewals: 14}}))
 
-	own := func(token uint64) {
+	setOwnerToken := func(token uint64) {
 		m.leases.Restore(map[string]lease.Grant{FleetRole: {Holder: "odori-1", Token: token}})
 	}
-	own(300)
-	goldenfile.CheckDecoded(t, "intent.bin", m.Apply(53, held("intent.bin")), any(Result{Status: StatusRejected,
+	setOwnerToken(300)
+	goldenfile.CheckDecoded(t, "intent.bin", m.Apply(53, golden("intent.bin")), any(Result{Status: StatusRejected,
 		Reason: "period 70000 is not the next to export, which is 0"}))
-	own(301)
-	goldenfile.CheckDecoded(t, "done.bin", m.Apply(54, held("done.bin")), any(Result{Status: StatusRejected,
+	setOwnerToken(301)
+	goldenfile.CheckDecoded(t, "done.bin", m.Apply(54, golden("done.bin")), any(Result{Status: StatusRejected,
 		Reason: "no export of period 70001 is open"}))
-	own(302)
-	goldenfile.CheckDecoded(t, "settled.bin", m.Apply(55, held("settled.bin")), any(Result{
+	setOwnerToken(302)
+	goldenfile.CheckDecoded(t, "settled.bin", m.Apply(55, golden("settled.bin")), any(Result{
 		Status: StatusRejected, Reason: "no correction 70002 was added"}))
-	own(303)
-	goldenfile.CheckDecoded(t, "list.bin", m.Apply(56, held("list.bin")), any(Result{Status: StatusAccepted}))
+	setOwnerToken(303)
+	goldenfile.CheckDecoded(t, "list.bin", m.Apply(56, golden("list.bin")), any(Result{Status: StatusAccepted}))
 	goldenfile.CheckDecoded(t, "list.bin", m.state.Endpoints, goldenEndpointState(56))
 }
 
@@ -113,9 +113,9 @@
 		Endpoints: goldenEndpointState(55), Stats: goldenStats}
 	want.state.Endpoints.ChangedVersion = 57
 	goldenfile.CheckFieldsSet(t, "state", want.state)
-	held := goldenfile.CheckBytes(t, "snapshot.bin", want.Snapshot())
+	golden := goldenfile.CheckBytes(t, "snapshot.bin", want.Snapshot())
 	got := newTestLog(t).machine
-	if err := got.Restore(held); err != nil {
+	if err := got.Restore(golden); err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.CheckDecoded(t, "snapshot.bin", got.state, want.state)
@@ -146,7 +146,8 @@
 		Raw: []byte(`{"index":74}`)}
 	goldenfile.CheckJSON(t, "list.json", list)
 	goldenfile.CheckJSON(t, "view.json", View{Grant: goldenGrant, LastExported: 81, IntentPeriod: 82,
-		IntentToken: 83, FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87, Endpoints: list, Stats: goldenStats})
+		IntentToken: 83, FinalPeriod: 84, OpenPeriod: 85, Backlog: 86, PendingCorrections: 87,
+		Endpoints: list, Stats: goldenStats})
 	goldenfile.CheckJSON(t, "statement.json", PendingExport{Grant: goldenGrant, DuePeriod: 91, IntentPeriod: 92,
 		IntentToken: 93, Rows: []ledger.Row{goldenRow}, Corrections: []PendingCorrection{goldenCorrection}})
 }
--- a/internal/cluster/leaseholder/exactly_once_test.go
+++ b/internal/cluster/leaseholder/exactly_once_test.go
@@ -24,9 +24,9 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// Points are the steps of an answer's usage record on its way from the answer to the client to the billing
-// sink. Each passage of a point by a process gets the next number. Every run of the model has the same
-// traffic in virtual time, and at most one fault at one numbered point.
+// Points are the steps by which the usage of an answer gets from the process that answered the client to the
+// billing sink. Points are numbered in the order in which the processes pass them. Every run of the model has
+// the same traffic in virtual time, and at most one fault, at the point with a given number.
 const (
 	pointAnswered  = "answered"  // the client has its answer, the process has not counted it
 	pointCounted   = "counted"   // counted in the process's memory
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -187,7 +187,7 @@
 	return s.feed, s.replaced
 }
 
-// waitTimeout bounds every wait of a test; it affects no result other than when a failing test gives up.
+// waitTimeout bounds every wait of a test; no test result depends on how much of it passes.
 const waitTimeout = 20 * time.Second
 
 var (
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -122,12 +122,12 @@
 func TestMembersFollowTheOwnersEndpointList(t *testing.T) {
 	s := newMemoryStore(t)
 	s.setReadOnly("b") // else it could acquire the lease if this process is stalled for longer than a lease
-	one, two := &fakeSource{index: 1, raw: "1"}, &fakeSource{}
-	a := startRunner(t, s, shortLease, "a", "", one)
+	sourceA, sourceB := &fakeSource{index: 1, raw: "1"}, &fakeSource{}
+	a := startRunner(t, s, shortLease, "a", "", sourceA)
 	awaitLease(t, a)
-	b := startRunner(t, s, shortLease, "b", "", two)
+	b := startRunner(t, s, shortLease, "b", "", sourceB)
 	eventually(t, "b has the list", func() error {
-		f, lists := two.state()
+		f, lists := sourceB.state()
 		if published := int(a.Page().Stats.Grants); !f.FromOwner || len(lists) == 0 || len(lists) > published ||
 			slices.ContainsFunc(lists, func(raw string) bool { return raw != "1" }) {
 			return fmt.Errorf("%+v %v, published %d times", f, lists, published)
@@ -135,20 +135,20 @@
 		return nil
 	})
 	eventually(t, "the owner's list comes from discovery", func() error {
-		if f, _ := one.state(); f.FromOwner || f.Token == 0 {
+		if f, _ := sourceA.state(); f.FromOwner || f.Token == 0 {
 			return fmt.Errorf("%+v", f)
 		}
 		return nil
 	})
-	one.Replace([]byte("2"))
+	sourceA.Replace([]byte("2"))
 	eventually(t, "b has the changed list", func() error {
-		if _, lists := two.state(); lists[len(lists)-1] != "2" {
+		if _, lists := sourceB.state(); lists[len(lists)-1] != "2" {
 			return fmt.Errorf("%v", lists)
 		}
 		return nil
 	})
 	s.setPartitioned(true, "a", "b")
-	for _, m := range []*fakeSource{one, two} {
+	for _, m := range []*fakeSource{sourceA, sourceB} {
 		eventually(t, "without an owner each member asks discovery", func() error {
 			if f, _ := m.state(); f != (Feed{}) {
 				return fmt.Errorf("%+v", f)
@@ -156,17 +156,17 @@
 			return nil
 		})
 	}
-	two.Replace([]byte("3")) // b has a newer list than the owner publishes, which it must not replace
+	sourceB.Replace([]byte("3")) // b has a newer list than the owner publishes, which it must not replace
 	s.setPartitioned(false, "a")
 	awaitLease(t, a)
 	s.setPartitioned(false, "b")
 	time.Sleep(100 * time.Millisecond)
-	if f, lists := two.state(); f.FromOwner || lists[len(lists)-1] != "3" {
+	if f, lists := sourceB.state(); f.FromOwner || lists[len(lists)-1] != "3" {
 		t.Errorf("b, whose list is newer than the owner's, has the feed %+v and replaced its list by %v", f, lists)
 	}
-	one.Replace([]byte("4"))
+	sourceA.Replace([]byte("4"))
 	eventually(t, "b uses the published list again", func() error {
-		if f, lists := two.state(); !f.FromOwner || lists[len(lists)-1] != "4" {
+		if f, lists := sourceB.state(); !f.FromOwner || lists[len(lists)-1] != "4" {
 			return fmt.Errorf("%+v %v", f, lists)
 		}
 		return nil
