--- a/internal/cluster/groupstate/export_test.go
+++ b/internal/cluster/groupstate/export_test.go
@@ -61,7 +61,7 @@
 	if s := l.pendingExport(); s.DuePeriod != 2 || len(s.Corrections) != 0 {
 		t.Errorf("%+v", s)
 	}
-	check("a command that does not decode", l.applyStatus([]byte{'I', 0xc1}), StatusRejected)
+	check("garbage", l.applyStatus([]byte{'I', 0xc1}), StatusRejected)
 	v := l.machine.View()
 	if v.LastExported != 1 || v.Backlog != 1 || v.Stats.ExportedPeriods != 1 ||
 		v.Stats.ExportedCorrections != 1 || v.Stats.Stale != 5 || v.Stats.Rejected != 7 || v.Stats.Grants != 2 {
--- a/internal/cluster/groupstate/golden_test.go
+++ b/internal/cluster/groupstate/golden_test.go
@@ -87,8 +87,8 @@
 		m.leases.Restore(map[string]lease.Grant{FleetRole: {Holder: "odori-1", Token: token}})
 	}
 	setOwnerToken(300)
-	goldenfile.CheckDecoded(t, "intent.bin", m.Apply(53, golden("intent.bin")), any(Result{Status: StatusRejected,
-		Reason: "period 70000 is not the next to export, which is 0"}))
+	goldenfile.CheckDecoded(t, "intent.bin", m.Apply(53, golden("intent.bin")), any(Result{
+		Status: StatusRejected, Reason: "period 70000 is not the next to export, which is 0"}))
 	setOwnerToken(301)
 	goldenfile.CheckDecoded(t, "done.bin", m.Apply(54, golden("done.bin")), any(Result{Status: StatusRejected,
 		Reason: "no export of period 70001 is open"}))
