--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -64,7 +64,7 @@
 
 // A lease holder that is partitioned from the store no longer owns the lease once another member has acquired
 // it: it makes no more calls, and its commands are rejected as stale.
-func TestPartitionedHolderStopsBeforeItsLeaseEnds(t *testing.T) {
+func TestPartitionedHolderStopsBeforeTheTakeover(t *testing.T) {
 	setup := startExportingHolder(t, shortLease)
 	sink, s, a, old := setup.sink, setup.store, setup.holder, setup.lease
 	b := startRunner(t, s, shortLease, "b", sink.Address(), nil)
