--- a/internal/cluster/groupstate/commands.go
+++ b/internal/cluster/groupstate/commands.go
@@ -5,49 +5,50 @@
 	"cresshub/internal/cluster/logcodec"
 )
 
-// Kinds of commands in the log, beside those of package ledger. They stand before the command itself
-// (logcodec.EncodeCommand).
+// Kinds of commands in the log, in addition to those of package ledger. The kind is the first byte of an
+// encoded command (logcodec.EncodeCommand).
 const (
-	kindLease           = 'L'
-	kindExportIntent    = 'I'
-	kindExportDone      = 'D'
-	kindCorrectionsSent = 'S'
-	kindEndpointList    = 'T'
+	kindLease               = 'L'
+	kindExportIntent        = 'I'
+	kindExportDone          = 'D'
+	kindCorrectionsExported = 'S'
+	kindPublishEndpointList = 'T'
 )
 
-// The commands of a role carry the name of the owner that proposes them and the token of its grant. They are
-// encoded for the log with their fields in this order, see package logcodec.
+// Each command of a role has the name of the owner that proposes it and the token of the owner's grant. The
+// log stores the fields in the order in which they are declared, see package logcodec.
 
-// ExportIntent says that the owner is about to send a period.
+// ExportIntent records that the owner is about to send a period to the sink.
 type ExportIntent struct {
 	Member string
 	Token  uint64
 	Period uint64
 }
 
-// ExportDone says that the sink has acknowledged all of a period.
+// ExportDone records that the sink has acknowledged every entry of a period.
 type ExportDone struct {
 	Member string
 	Token  uint64
 	Period uint64
 }
 
-// CorrectionsSent says that the sink has acknowledged the pending corrections up to one.
-type CorrectionsSent struct {
-	Member string
-	Token  uint64
-	UpTo   uint64 // PendingCorrection.Seq
+// CorrectionsExported records that the sink has acknowledged the pending corrections up to UpToSeq.
+type CorrectionsExported struct {
+	Member  string
+	Token   uint64
+	UpToSeq uint64 // PendingCorrection.Seq
 }
 
-// EndpointList publishes the list of zone servers. An empty Raw confirms the list published before.
-type EndpointList struct {
-	Member string
-	Token  uint64
-	Index  int64  // discovery's number of the list
-	Raw    []byte // JSON in discovery's format
+// PublishEndpointList publishes the list of zone servers. An empty Raw confirms that the list published
+// before is still current.
+type PublishEndpointList struct {
+	Member         string
+	Token          uint64
+	DiscoveryIndex int64  // discovery's version number of the list
+	Raw            []byte // JSON in discovery's format
 }
 
-// EncodeLease encodes a command of the lease for the log.
+// EncodeLease encodes a lease command for the log.
 func EncodeLease(cmd lease.Command) []byte { return logcodec.EncodeCommand(kindLease, &cmd) }
 
 // Encode encodes the command for the log.
@@ -57,7 +58,11 @@
 func (c *ExportDone) Encode() []byte { return logcodec.EncodeCommand(kindExportDone, c) }
 
 // Encode encodes the command for the log.
-func (c *CorrectionsSent) Encode() []byte { return logcodec.EncodeCommand(kindCorrectionsSent, c) }
+func (c *CorrectionsExported) Encode() []byte {
+	return logcodec.EncodeCommand(kindCorrectionsExported, c)
+}
 
 // Encode encodes the command for the log.
-func (c *EndpointList) Encode() []byte { return logcodec.EncodeCommand(kindEndpointList, c) }
+func (c *PublishEndpointList) Encode() []byte {
+	return logcodec.EncodeCommand(kindPublishEndpointList, c)
+}
--- a/internal/cluster/leaseholder/golden_test.go
+++ b/internal/cluster/leaseholder/golden_test.go
@@ -12,22 +12,24 @@
 
 func TestGoldenPageIsReadAndWrittenByteForByte(t *testing.T) {
 	goldenfile.CheckJSON(t, "page.json", Page{Self: "odori-1", Holder: "susukino-2", Token: 1, Owns: true,
-		OwnedFor:       6,
-		LeaseRemaining: 2,
-		Roles:          []RoleStatus{{Role: "export", LastRun: 3, Backlog: 4, Problem: "the sink answered 500"}},
-		Stats: Stats{Grants: 11, Renewals: 12, Losses: 13, Resigned: 14, Calls: 15, Rejected: 16, StaleEntries: 17,
-			Failed: 18, Entries: 19, Duplicates: 20, Resumed: 21},
+		OwnedForMS:       6,
+		LeaseRemainingMS: 2,
+		Roles: []RoleStatus{{Role: "export", SinceLastRunMS: 3, Backlog: 4,
+			Problem: "the sink answered 500"}},
+		Stats: Stats{Grants: 11, Renewals: 12, Losses: 13, Resigned: 14, Calls: 15, RejectedCalls: 16,
+			StaleCommands: 17, FailedCalls: 18, Entries: 19, Duplicates: 20, Resumed: 21},
 		Endpoints: &EndpointStatus{FromOwner: true, AgeMS: 31, Version: 32},
-		Store: &groupstate.View{Grant: lease.Grant{Holder: "odori-1", Token: 41, Renewed: 42}, Exported: 43,
-			Sending: 44, IntentToken: 45, Final: 46, Open: 47, Backlog: 48, PendingCorrections: 49,
-			Endpoints: groupstate.EndpointView{Version: 51, Changed: 52, Token: 53, Index: 54,
+		Store: &groupstate.View{Grant: lease.Grant{Holder: "odori-1", Token: 41, Renewals: 42}, LastExported: 43,
+			IntentPeriod: 44, IntentToken: 45, FinalPeriod: 46, OpenPeriod: 47, Backlog: 48, PendingCorrections: 49,
+			Endpoints: groupstate.EndpointView{Version: 51, ChangedVersion: 52, Token: 53, DiscoveryIndex: 54,
 				Raw: []byte(`{"index":54}`)},
-			Stats: groupstate.Stats{Grants: 61, Stale: 62, Rejected: 63, Periods: 64, Unsent: 65, Corrections: 66,
-				EndpointLists: 67}},
+			Stats: groupstate.Stats{Grants: 61, Stale: 62, Rejected: 63, ExportedPeriods: 64, DroppedPeriods: 65,
+				ExportedCorrections: 66, EndpointLists: 67}},
 		Problem: "the group has no leader"})
 }
 
-// What the billing sink is sent, and what it answers. An entry's id must stay: the sink knows repeats by it.
+// The entries sent to the billing sink and the sink's reply. The IDs of entries must never change, as the
+// sink recognizes duplicates by them.
 func TestGoldenEntriesOfTheSinkAreReadAndWrittenByteForByte(t *testing.T) {
 	key := ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
 	sent := PeriodEntries(7, []ledger.Row{{Key: key, Usage: ledger.Usage{Count: 100, BytesIn: 200,
