--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -6,8 +6,9 @@
 	"cresshub/internal/testbed/goldenfile"
 )
 
-// Members gossip phases by their names, and operators' pages show them, statuses and changes so. Package
-// gossip has the golden files of what is gossiped.
+// TestGoldenNamesAreReadAndWrittenByteForByte guards the names of phases, which members gossip, and of
+// statuses and changes, which operators' pages and logs show as well. Package gossip has the golden files
+// of its messages.
 func TestGoldenNamesAreReadAndWrittenByteForByte(t *testing.T) {
 	var names struct{ Statuses, Phases, Changes []string }
 	for s := Alive; s <= Left; s++ {
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Status is what the gossip layer says of a member.
+// Status is the status of a member as the gossip layer reports it.
 type Status uint8
 
 // The statuses, as in SWIM.
@@ -15,15 +15,15 @@
 	Alive Status = iota
 	Suspect
 	Dead
-	Left // it announced that it leaves
+	Left // the member announced that it leaves the fleet
 )
 
 var statusNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// String returns the name of the status as pages and logs have it.
+// String returns the name of the status, as pages and logs show it.
 func (s Status) String() string { return statusNames[s] }
 
-// Phase is what a member says of itself in its metadata.
+// Phase is the phase of its life cycle that a member reports in its metadata.
 type Phase uint8
 
 // The phases, in the order of a shutdown.
@@ -35,57 +35,59 @@
 
 var phaseNames = [...]string{"serving", "draining", "leaving"}
 
-// String returns the name of the phase, under which members gossip it.
+// String returns the name of the phase, which members gossip.
 func (p Phase) String() string { return phaseNames[p] }
 
-// ParsePhase returns the phase of a name, as String has it.
+// ParsePhase returns the phase with a name that String has returned.
 func ParsePhase(name string) (Phase, error) {
 	if i := slices.Index(phaseNames[:], name); i >= 0 {
 		return Phase(i), nil
 	}
-	return 0, fmt.Errorf("%q is no phase; there are serving, draining and leaving", name)
+	return 0, fmt.Errorf("unknown phase %q: must be serving, draining or leaving", name)
 }
 
-// Meta is a member's metadata.
+// Meta is the metadata that a member gossips about itself.
 type Meta struct {
-	// Incarnation rises with every start of the process under its name: the start's wall time in milliseconds
-	// since 1970. It distinguishes a restart from a member that was up all along.
+	// Incarnation is the wall clock time at which the process started, in milliseconds since 1970, so that it
+	// increases with every start under the same name. It tells a restart from a member that has been up all
+	// along.
 	Incarnation uint64
-	Version     string // of the program
+	Version     string // program version
 	Hall        string // failure domain
 	Phase       Phase
-	// LedgerAddress is the host:port of the member's replicas and ReplicaID their ID; "" and 0 if it has
-	// none.
+	// LedgerAddress is the host:port at which the member's Raft replicas are reached, and ReplicaID is their ID;
+	// "" and 0 if it has none.
 	LedgerAddress string
 	ReplicaID     uint64
 }
 
-// Observation is one thing that the gossip layer says of a member.
+// Observation is a report of the gossip layer about one member.
 type Observation struct {
 	Name    string
-	Address string // host:port of its gossip
+	Address string // host:port of the member's gossip listener
 	Status  Status
 	Meta    Meta
 }
 
-// Settings bound the view. All durations are monotonic. The defaults are those of the client proxy's
+// Settings configure a View. All durations are monotonic. The defaults are those of the client proxy's
 // settings.
 type Settings struct {
-	// GoneAfter is how long a member is dead or left, without interruption, until it counts as gone and others
-	// may replace it; 30 s by default. Each flap within FlapWindow, beyond the first, adds it once more. Above
-	// zero.
+	// GoneAfter is how long a member has to be dead or left, without interruption, before it counts as gone and
+	// others may replace it; 30 s by default. Each flap within FlapWindow, beyond the first, adds another
+	// GoneAfter to that time. Above zero.
 	GoneAfter time.Duration
-	// FlapWindow is how long a death, a leave or a return counts as a flap; 1 m by default. Above zero.
+	// FlapWindow is how long a death, a leave or a return counts as a flap after it was observed; 1 m by
+	// default. Above zero.
 	FlapWindow time.Duration
-	// ForgetAfter is how long a member is dead or left until it is dropped from the table, once it left or is
-	// gone; 10 m by default. At least GoneAfter.
+	// ForgetAfter is how long a member has to be dead or left before it is dropped from the table; a dead one
+	// also has to be gone. 10 m by default. At least GoneAfter.
 	ForgetAfter time.Duration
-	// MaxMembers bounds the names in the table, this member's included; 4096 by default. Further names are
-	// rejected. Above zero.
+	// MaxMembers is the maximum number of names in the table, including this member's; 4096 by default. Further
+	// names are rejected. Above zero.
 	MaxMembers int
 }
 
-// Check returns an error that names the setting where one is wrong.
+// Check returns an error that names a setting that is out of range.
 func (s Settings) Check() error {
 	switch {
 	case s.GoneAfter <= 0:
@@ -93,73 +95,73 @@
 	case s.FlapWindow <= 0:
 		return errors.New("flap_window must be above zero")
 	case s.ForgetAfter < s.GoneAfter:
-		return fmt.Errorf("forget %v is before gone_after %v", s.ForgetAfter, s.GoneAfter)
+		return fmt.Errorf("forget %v must not be less than gone_after %v", s.ForgetAfter, s.GoneAfter)
 	case s.MaxMembers <= 0:
 		return errors.New("max_members must be above zero")
 	}
 	return nil
 }
 
-// Member is one row of the view.
+// Member is the state of one member in the view.
 type Member struct {
 	Name    string
-	Address string // host:port of its gossip
+	Address string // host:port of its gossip listener
 	Meta    Meta
 	Status  Status
-	// Gone is true once others may replace the member: dead or left for long enough, see Settings. A member that
-	// restarts is back before.
+	// Gone means that the member has been dead or left for so long that others may replace it, see
+	// Settings.GoneAfter. A member that only restarts returns before that.
 	Gone        bool
 	StatusSince time.Duration // when Status last changed
-	// Flaps counts deaths, leaves and returns within the flap window. A suspicion that its member refutes is no
-	// flap: its cause may as well be the suspecting member as the suspected one.
+	// Flaps counts deaths, leaves and returns within Settings.FlapWindow. A suspicion that the member refutes is
+	// not a flap, since it may be due to the suspecting member as well as to the suspected one.
 	Flaps     int
-	Suspected int // times that the member became suspect
+	Suspected int // how many times the member became suspect
 }
 
-// ChangeKind is what changed.
+// ChangeKind is the type of a Change.
 type ChangeKind uint8
 
 // The kinds of changes.
 const (
-	Joined     ChangeKind = iota
-	Changed               // status or metadata
-	Restarted             // a new incarnation
-	BecameGone            // others may replace it
-	Returned              // up again after it was gone
-	Forgotten             // dropped from the table
-	Conflict              // another process claimed the name, and was rejected
-	Rejected              // the table was full
+	Joined     ChangeKind = iota // a new name was added to the table
+	Changed                      // the status or the metadata changed
+	Restarted                    // the member has a new incarnation
+	BecameGone                   // others may replace the member
+	Returned                     // the member is up again after it was gone
+	Forgotten                    // the member was dropped from the table
+	Conflict                     // another process claimed the member's name and was rejected
+	Rejected                     // a new name was rejected because the table was full
 )
 
 var kindNames = [...]string{"joined", "changed", "restarted", "gone", "returned", "forgotten", "conflict",
 	"refused"}
 
-// String returns the name of the kind as logs have it.
+// String returns the name of the kind, as it is logged.
 func (k ChangeKind) String() string { return kindNames[k] }
 
 // Change is one change of the view, or a rejected claim to a name.
 type Change struct {
 	Kind     ChangeKind
 	At       time.Duration
-	Member   Member // after the change
-	Previous Status // before it, with Changed
+	Member   Member // the member after the change
+	Previous Status // status before the change, set only with Changed
 }
 
 // entry is a member of the table. Member.Flaps is the length of flaps as of the last change or tick.
 type entry struct {
 	Member
-	flaps []time.Duration // times of flaps within the window, the oldest first
+	flaps []time.Duration // times of the flaps within the window, oldest first
 }
 
-// View is the fleet as this member sees it. It is not safe for concurrent use. The times that it is given
-// must not fall.
+// View is the table of the fleet's members as this member knows them. It is not safe for concurrent use. The
+// times that are passed to it must not decrease.
 type View struct {
 	settings Settings
 	self     string
 	entries  map[string]*entry
 }
 
-// NewView returns the empty view of the member named self. Errors: wrong settings.
+// NewView returns the empty view of the member named self. It returns an error if a setting is out of range.
 func NewView(settings Settings, self string) (*View, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -167,7 +169,7 @@
 	return &View{settings: settings, self: self, entries: map[string]*entry{}}, nil
 }
 
-// Observe applies an observation that the gossip layer made at a time, and returns the changes.
+// Observe applies an observation that the gossip layer made at time now, and returns the changes.
 func (v *View) Observe(now time.Duration, obs Observation) []Change {
 	known, ok := v.entries[obs.Name]
 	if !ok {
@@ -176,10 +178,10 @@
 	newer := obs.Meta.Incarnation > known.Meta.Incarnation
 	restarted := newer || v.clockWentBack(now, known, obs)
 	if known.Status == Left && !restarted {
-		return nil // a leave is final for its incarnation: late gossip of it alive changes nothing
+		return nil // a leave is final for its incarnation: delayed gossip that it is alive changes nothing
 	}
 	if isUp(known.Status) && isUp(obs.Status) && obs.Address != known.Address && !newer {
-		// Two processes claim the name and neither is newer: the known one stays.
+		// Two processes claim the name and the other one is not newer: the known one keeps it.
 		claimant := Member{Name: obs.Name, Address: obs.Address, Meta: obs.Meta}
 		return []Change{{Kind: Conflict, At: now, Member: claimant}}
 	}
@@ -192,8 +194,8 @@
 	return changes
 }
 
-// observeNew takes an observation of a member that is not in the table. One that is down already is not
-// added.
+// observeNew applies an observation of a member that is not in the table. A member that is dead or left is
+// not added.
 func (v *View) observeNew(now time.Duration, obs Observation) []Change {
 	if !isUp(obs.Status) {
 		return nil
@@ -212,14 +214,15 @@
 	return []Change{{Kind: Joined, At: now, Member: joined.Member}}
 }
 
-// clockWentBack reports whether a member that was down for GoneAfter is alive under another incarnation,
-// though its clock may say that it started before: gossip of an ended incarnation does not last that long.
+// clockWentBack reports whether a member that has been down for GoneAfter or longer is alive with a different
+// incarnation. Even if that one is lower, it is a restart after the member's clock was set back: gossip of an
+// ended incarnation does not circulate that long.
 func (v *View) clockWentBack(now time.Duration, known *entry, obs Observation) bool {
 	downForLong := !isUp(known.Status) && now-known.StatusSince >= v.settings.GoneAfter
 	return downForLong && obs.Status == Alive && obs.Meta.Incarnation != known.Meta.Incarnation
 }
 
-// updateMeta takes over the metadata of a restarted member, or new metadata of the known incarnation.
+// updateMeta adopts the metadata of a restarted member, or changed metadata of the known incarnation.
 func updateMeta(now time.Duration, known *entry, obs Observation, restarted bool) []Change {
 	switch {
 	case restarted:
@@ -232,10 +235,10 @@
 	return nil
 }
 
-// updateStatus takes over a status, unless it is a late one of an earlier incarnation.
+// updateStatus adopts an observed status, unless it is a delayed one of an earlier incarnation.
 func (v *View) updateStatus(now time.Duration, known *entry, obs Observation) []Change {
-	late := obs.Meta.Incarnation < known.Meta.Incarnation && obs.Status != Alive
-	if obs.Status == known.Status || late {
+	delayed := obs.Meta.Incarnation < known.Meta.Incarnation && obs.Status != Alive
+	if obs.Status == known.Status || delayed {
 		return nil
 	}
 	previous := known.Status
@@ -250,10 +253,10 @@
 	return []Change{{Kind: Changed, At: now, Member: known.Member, Previous: previous}}
 }
 
-// isUp reports whether the process is there by a status: alive or suspect.
+// isUp reports whether a member with a status counts as running: alive or suspect.
 func isUp(s Status) bool { return s == Alive || s == Suspect }
 
-// withinFlapWindow drops the times before the flap window that ends now, in place.
+// withinFlapWindow removes, in place, the times that are before the flap window that ends now.
 func (v *View) withinFlapWindow(now time.Duration, times []time.Duration) []time.Duration {
 	expired := 0
 	for expired < len(times) && now-times[expired] >= v.settings.FlapWindow {
@@ -262,14 +265,16 @@
 	return append(times[:0], times[expired:]...)
 }
 
-// goneAfter is how long a member must be down before it counts as gone: GoneAfter, and once more for each
-// flap beyond the first within the window, so that one that comes and goes is not replaced over and over.
+// goneAfter returns how long a member has to be down before it counts as gone: Settings.GoneAfter, plus the
+// same time again for each flap within the window beyond the first, so that a flapping member is not
+// replaced again and again.
 func (v *View) goneAfter(member *entry) time.Duration {
 	return v.settings.GoneAfter * time.Duration(max(1, len(member.flaps)))
 }
 
-// Tick lets time pass: members that were down for long enough become gone, those left or gone for long enough
-// are forgotten, but for this member itself. It returns the changes, by name.
+// Tick applies the passage of time: members that have been down for long enough become gone, and members
+// that have left or are gone for long enough are forgotten, except this member itself. It returns the
+// changes, sorted by name.
 func (v *View) Tick(now time.Duration) []Change {
 	var changes []Change
 	for _, name := range v.sortedNames() {
@@ -278,6 +283,7 @@
 	return changes
 }
 
+// tickMember applies the passage of time to one member.
 func (v *View) tickMember(now time.Duration, member *entry) []Change {
 	var changes []Change
 	member.flaps = v.withinFlapWindow(now, member.flaps)
@@ -304,7 +310,7 @@
 	return names
 }
 
-// Snapshot returns all members, by name.
+// Snapshot returns all members, sorted by name.
 func (v *View) Snapshot() []Member {
 	members := make([]Member, 0, len(v.entries))
 	for _, name := range v.sortedNames() {
@@ -313,7 +319,7 @@
 	return members
 }
 
-// Get returns the member of a name; false if it is not in the table.
+// Get returns the member with a name; false if it is not in the table.
 func (v *View) Get(name string) (Member, bool) {
 	known, ok := v.entries[name]
 	if !ok {
@@ -322,8 +328,8 @@
 	return known.Member, true
 }
 
-// RecentlyDead returns the dead members that are not forgotten: those to attempt to join again, so that the
-// sides of a healed partition find each other (as serf's reconnect does).
+// RecentlyDead returns the dead members that are not forgotten yet. The caller should try to rejoin them,
+// so that the two sides of a healed partition find each other (like Serf's reconnect).
 func (v *View) RecentlyDead() []Member {
 	var dead []Member
 	for _, name := range v.sortedNames() {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -10,7 +10,7 @@
 
 const sec = time.Second
 
-// step is one observation at a time, or a tick where observation is nil.
+// step is an observation at a time, or a tick if observation is nil.
 type step struct {
 	at          time.Duration
 	observation *Observation
@@ -20,7 +20,8 @@
 	return &Observation{Name: name, Address: name + ":1", Status: status, Meta: Meta{Incarnation: incarnation}}
 }
 
-func play(t *testing.T, steps []step) (*View, []ChangeKind) {
+// runSteps applies steps to an empty view and returns the view and the kinds of all changes.
+func runSteps(t *testing.T, steps []step) (*View, []ChangeKind) {
 	t.Helper()
 	v, err := NewView(testSettings, "self")
 	if err != nil {
@@ -49,47 +50,51 @@
 		end   Status
 		gone  bool
 	}{
-		{"one suspicion is not gone", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Suspect, 1)},
-			{30 * sec, nil}}, []ChangeKind{Joined, Changed}, Suspect, false},
-		{"dead long enough is gone", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)},
-			{10 * sec, nil}, {11 * sec, nil}}, []ChangeKind{Joined, Changed, BecameGone}, Dead, true},
-		{"a flap doubles the wait", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)},
+		{"a suspect member does not become gone",
+			[]step{{0, observed("a", Alive, 1)}, {sec, observed("a", Suspect, 1)},
+				{30 * sec, nil}}, []ChangeKind{Joined, Changed}, Suspect, false},
+		{"a member dead for long enough is gone",
+			[]step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)},
+				{10 * sec, nil}, {11 * sec, nil}}, []ChangeKind{Joined, Changed, BecameGone}, Dead, true},
+		{"flaps extend the time until gone", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)},
 			{2 * sec, observed("a", Alive, 1)}, {3 * sec, observed("a", Dead, 1)}, {15 * sec, nil}},
 			[]ChangeKind{Joined, Changed, Changed, Changed}, Dead, false},
-		{"a refuted suspicion is no flap", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Suspect, 1)},
+		{"a refuted suspicion is not a flap", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Suspect, 1)},
 			{2 * sec, observed("a", Alive, 1)}, {3 * sec, observed("a", Suspect, 1)},
 			{4 * sec, observed("a", Dead, 1)},
 			{14 * sec, nil}}, []ChangeKind{Joined, Changed, Changed, Changed, Changed, BecameGone}, Dead, true},
-		{"flaps age out", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)},
-			{2 * sec, observed("a", Alive, 1)}, {3 * sec, observed("a", Dead, 1)}, {90 * sec, nil}},
+		{"flaps outside the window do not count",
+			[]step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)},
+				{2 * sec, observed("a", Alive, 1)}, {3 * sec, observed("a", Dead, 1)}, {90 * sec, nil}},
 			[]ChangeKind{Joined, Changed, Changed, Changed, BecameGone}, Dead, true},
-		{"back after gone", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)}, {20 * sec, nil},
-			{21 * sec, observed("a", Alive, 1)}},
+		{"a gone member returns",
+			[]step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)}, {20 * sec, nil},
+				{21 * sec, observed("a", Alive, 1)}},
 			[]ChangeKind{Joined, Changed, BecameGone, Changed, Returned}, Alive, false},
 		{"a restart is reported", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Dead, 1)},
 			{2 * sec, observed("a", Alive, 2)}}, []ChangeKind{Joined, Changed, Restarted, Changed}, Alive, false},
-		{"a leave is final", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Left, 1)},
+		{"a leave is final for its incarnation", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Left, 1)},
 			{2 * sec, observed("a", Alive, 1)}}, []ChangeKind{Joined, Changed}, Left, false},
 		{"a restart after a leave", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Left, 1)},
 			{2 * sec, observed("a", Alive, 2)}}, []ChangeKind{Joined, Changed, Restarted, Changed}, Alive, false},
-		{"left for long is gone", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Left, 1)},
+		{"a member that left long ago is gone", []step{{0, observed("a", Alive, 1)}, {sec, observed("a", Left, 1)},
 			{11 * sec, nil}},
 			[]ChangeKind{Joined, Changed, BecameGone}, Left, true},
-		{"a dead member never seen is not added", []step{{0, observed("a", Dead, 1)}}, nil, 0, false},
+		{"an unknown dead member is not added", []step{{0, observed("a", Dead, 1)}}, nil, 0, false},
 	} {
-		v, kinds := play(t, c.steps)
+		v, kinds := runSteps(t, c.steps)
 		if !equal(kinds, c.want) {
 			t.Errorf("%s: changes %v, want %v", c.name, kinds, c.want)
 		}
 		m, ok := v.Get("a")
 		if c.want == nil {
 			if ok {
-				t.Errorf("%s: has %+v", c.name, m)
+				t.Errorf("%s: the table has %+v", c.name, m)
 			}
 			continue
 		}
 		if m.Status != c.end || m.Gone != c.gone {
-			t.Errorf("%s: ends %v gone %v, want %v gone %v", c.name, m.Status, m.Gone, c.end, c.gone)
+			t.Errorf("%s: status %v, gone %v at the end, want %v, %v", c.name, m.Status, m.Gone, c.end, c.gone)
 		}
 	}
 }
@@ -107,12 +112,12 @@
 }
 
 func TestNameClaimedByTwoProcessesIsAConflict(t *testing.T) {
-	v, _ := play(t, nil)
+	v, _ := runSteps(t, nil)
 	v.Observe(0, *observed("a", Alive, 5))
 	other := *observed("a", Alive, 5)
 	other.Address = "elsewhere:1"
 	if changes := v.Observe(sec, other); len(changes) != 1 || changes[0].Kind != Conflict {
-		t.Fatalf("a second process of the name gives %v", changes)
+		t.Fatalf("a second process with the name: changes %v, want a conflict", changes)
 	}
 	if m, _ := v.Get("a"); m.Address != "a:1" {
 		t.Errorf("the second process took the name: %+v", m)
@@ -126,12 +131,12 @@
 }
 
 func TestTableIsBounded(t *testing.T) {
-	v, _ := play(t, nil)
+	v, _ := runSteps(t, nil)
 	for _, name := range []string{"a", "b", "c"} {
 		v.Observe(0, *observed(name, Alive, 1))
 	}
 	if changes := v.Observe(0, *observed("d", Alive, 1)); len(changes) != 1 || changes[0].Kind != Rejected {
-		t.Errorf("a fourth name in a table of three gives %v", changes)
+		t.Errorf("a fourth name in a table of three: changes %v, want a rejection", changes)
 	}
 	v.Observe(sec, *observed("a", Left, 1))
 	v.Tick(sec + testSettings.ForgetAfter)
@@ -140,20 +145,20 @@
 	}
 	if changes := v.Observe(2*testSettings.ForgetAfter, *observed("d", Alive, 1)); len(changes) != 1 ||
 		changes[0].Kind != Joined {
-		t.Errorf("the free row is not taken: %v", changes)
+		t.Errorf("a new name was not added to the table after another was forgotten: changes %v", changes)
 	}
 }
 
-func TestUnsoundSettingsAreRejected(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"no gone_after":   func(s *Settings) { s.GoneAfter = 0 },
-		"no flap window":  func(s *Settings) { s.FlapWindow = -1 },
-		"forget too soon": func(s *Settings) { s.ForgetAfter = s.GoneAfter - 1 },
-		"no members":      func(s *Settings) { s.MaxMembers = 0 },
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	for name, change := range map[string]func(*Settings){
+		"gone_after is zero":          func(s *Settings) { s.GoneAfter = 0 },
+		"flap window is negative":     func(s *Settings) { s.FlapWindow = -1 },
+		"forget is before gone_after": func(s *Settings) { s.ForgetAfter = s.GoneAfter - 1 },
+		"max members is zero":         func(s *Settings) { s.MaxMembers = 0 },
 	} {
-		bad := testSettings
-		spoil(&bad)
-		if _, err := NewView(bad, "self"); err == nil {
+		settings := testSettings
+		change(&settings)
+		if _, err := NewView(settings, "self"); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
