--- a/internal/cluster/pending/flusher.go
+++ b/internal/cluster/pending/flusher.go
@@ -6,7 +6,7 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// runFlusher flushes at each interval and once more at the end.
+// runFlusher flushes every Options.FlushInterval, and once more when the recorder is closed.
 func (r *Recorder) runFlusher() {
 	tick := time.NewTicker(r.opts.FlushInterval)
 	defer tick.Stop()
@@ -22,8 +22,8 @@
 }
 
 // flush makes a batch of the current usage, adds it to the outbox, deletes committed batches there, and
-// queues the batch. A batch that the disk doesn't take is queued all the same: once committed it is as safe
-// as any. Only the flusher calls it, and Close after the flusher has ended.
+// queues the batch. A batch that could not be written is queued all the same: once the group has committed
+// it, it is as safe as any other. Only the flusher calls flush, and Close after the flusher has ended.
 func (r *Recorder) flush() {
 	batch, committed := r.takeBatch()
 	if batch.raw == nil && len(committed) == 0 {
@@ -44,23 +44,24 @@
 	}
 }
 
-// takeBatch makes a batch of the current usage, the zero one if there is none or too many batches are queued.
-// It also returns the keys of the batches that were committed and are still in the outbox.
+// takeBatch makes a batch of the current usage. It returns the zero batch if there is no usage or too many
+// batches are queued. It also returns the keys of the batches that were committed and are still in the
+// outbox.
 func (r *Recorder) takeBatch() (batch queuedBatch, committed []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	full := r.queuedBytes >= r.opts.MaxQueuedBytes || len(r.queue) >= maxQueuedBatches
+	queueFull := r.queuedBytes >= r.opts.MaxQueuedBytes || len(r.queue) >= maxQueuedBatches
 	switch {
-	case full:
+	case queueFull:
 		r.current.dropIDs()
 	case r.current.answers > 0:
-		batch = r.sealBatch()
+		batch = r.makeBatch()
 		r.writing = batch
 	}
 	return batch, r.committedKeys
 }
 
-// recordWriteError counts a failed write of the outbox, and logs the first one. The caller holds r.mu.
+// recordWriteError counts a failed write of the outbox, and logs only the first one. The caller holds r.mu.
 func (r *Recorder) recordWriteError(err error) {
 	r.stats.FileErrors++
 	if r.stats.FileErrors == 1 {
@@ -78,8 +79,8 @@
 	return r.outbox.write(batch, committed)
 }
 
-// sealBatch makes a batch of the current usage. The caller holds r.mu.
-func (r *Recorder) sealBatch() queuedBatch {
+// makeBatch makes a batch of the current usage, and resets that. The caller holds r.mu.
+func (r *Recorder) makeBatch() queuedBatch {
 	r.seq++
 	r.lastKey++
 	content := ledger.Batch{Member: r.opts.Member, Incarnation: r.incarnation, Seq: r.seq}
@@ -96,7 +97,7 @@
 	return batch
 }
 
-// enqueue hands a batch to the sender. The caller holds r.mu.
+// enqueue appends a batch to the queue of the sender, and wakes the sender. The caller holds r.mu.
 func (r *Recorder) enqueue(batch queuedBatch) {
 	r.queue = append(r.queue, batch)
 	r.queuedBytes += int64(len(batch.raw))
@@ -107,8 +108,9 @@
 	}
 }
 
-// dropIDs sums up the answers that have a request id, so that the size is bounded by the number of keys.
-// Further answers are counted without their id until the next batch.
+// dropIDs adds the answers with a request id to the sums of their keys and drops the ids, so that the size
+// of the current usage is bounded by the number of keys. Further answers are counted without their ids
+// until the next batch.
 func (c *current) dropIDs() {
 	for _, usage := range c.usage {
 		for i := range usage.IDs {
--- a/internal/cluster/pending/golden_test.go
+++ b/internal/cluster/pending/golden_test.go
@@ -17,20 +17,24 @@
 	"cresshub/internal/testbed/goldenfile"
 )
 
-// goldenLast is the incarnation of an earlier life, far enough ahead that the clock does not say the next.
-const goldenLast = 1 << 62
+// goldenLastIncarnation is the last incarnation that is stored in the outbox before the test opens it. It is
+// so high that the next one doesn't depend on the clock.
+const goldenLastIncarnation = 1 << 62
 
-// goldenBatch is what the file of waiting counts holds. One key alone: several come in a map's order.
+// goldenBatch returns the batch in the golden outbox. It has only one key, since several would be encoded
+// in the random order of a map.
 func goldenBatch() *ledger.Batch {
-	return &ledger.Batch{Member: "odori-1", Incarnation: goldenLast + 1, Seq: 1, Usage: []ledger.KeyUsage{{
-		Key:   ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"},
-		Usage: ledger.Usage{Count: 1, BytesIn: 21, BytesOut: 22}, IDs: []uint64{31, 1<<64 - 1},
-		BytesInByID:  []int64{32, 33},
-		BytesOutByID: []int64{34, 35}}}}
+	return &ledger.Batch{Member: "odori-1", Incarnation: goldenLastIncarnation + 1, Seq: 1,
+		Usage: []ledger.KeyUsage{{
+			Key:   ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"},
+			Usage: ledger.Usage{Count: 1, BytesIn: 21, BytesOut: 22}, IDs: []uint64{31, 1<<64 - 1},
+			BytesInByID:  []int64{32, 33},
+			BytesOutByID: []int64{34, 35}}}}
 }
 
-// goldenOpen opens a file that holds the records of text.
-func goldenOpen(t *testing.T, text string) (*Recorder, string) {
+// openGoldenOutbox writes the records in text to an outbox, and opens that by a Recorder. It returns the
+// path of the outbox as well.
+func openGoldenOutbox(t *testing.T, text string) (*Recorder, string) {
 	t.Helper()
 	dir := t.TempDir()
 	path := filepath.Join(dir, "outbox.db")
@@ -66,8 +70,8 @@
 	return r, path
 }
 
-// goldenRecords is what a file holds, a line a record.
-func goldenRecords(t *testing.T, path string) string {
+// outboxRecords returns the records in an outbox as text, one per line.
+func outboxRecords(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: time.Second})
 	if err != nil {
@@ -88,45 +92,46 @@
 	return out.String()
 }
 
-// The records are held to the file, not the pages: where those lie is bbolt's own.
-func TestGoldenFileOfWaitingCountsIsReadAndWrittenByteForByte(t *testing.T) {
-	r, path := goldenOpen(t, fmt.Sprintf("meta %x %016x\n", "incarnation", uint64(goldenLast)))
-	a := goldenBatch().Usage[0]
-	r.Count(a.Key, 0, a.BytesIn, a.BytesOut)
-	for i, id := range a.IDs {
-		r.Count(a.Key, id, a.BytesInByID[i], a.BytesOutByID[i])
+// TestGoldenOutboxIsReadAndWrittenByteForByte compares the records of the outbox with the golden file. The
+// pages of the file aren't compared, since bbolt decides on their layout.
+func TestGoldenOutboxIsReadAndWrittenByteForByte(t *testing.T) {
+	r, path := openGoldenOutbox(t, fmt.Sprintf("meta %x %016x\n", "incarnation", uint64(goldenLastIncarnation)))
+	usage := goldenBatch().Usage[0]
+	r.Count(usage.Key, 0, usage.BytesIn, usage.BytesOut)
+	for i, id := range usage.IDs {
+		r.Count(usage.Key, id, usage.BytesInByID[i], usage.BytesOutByID[i])
 	}
 	r.flush()
 	if err := r.Close(); err != nil {
 		t.Fatal(err)
 	}
-	held := goldenfile.CheckBytes(t, "outbox.txt", []byte(goldenRecords(t, path)))
+	stored := goldenfile.CheckBytes(t, "outbox.txt", []byte(outboxRecords(t, path)))
 
-	r, _ = goldenOpen(t, string(held))
-	goldenfile.CheckDecoded(t, "outbox.txt", r.Incarnation(), uint64(goldenLast+2))
+	r, _ = openGoldenOutbox(t, string(stored))
+	goldenfile.CheckDecoded(t, "outbox.txt", r.Incarnation(), uint64(goldenLastIncarnation+2))
 	if len(r.queue) != 1 {
-		t.Fatalf("%d batches wait, not 1", len(r.queue))
+		t.Fatalf("%d batches are queued, want 1", len(r.queue))
 	}
-	w := r.queue[0]
-	counts := []int64{int64(w.key), w.answers, r.stats.Counted, r.stats.Queued}
+	batch := r.queue[0]
+	counts := []int64{int64(batch.key), batch.answers, r.stats.Counted, r.stats.Queued}
 	goldenfile.CheckDecoded(t, "outbox.txt", counts, []int64{1, 3, 3, 3})
-	got, err := ledger.DecodeBatch(w.raw)
+	got, err := ledger.DecodeBatch(batch.raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.CheckDecoded(t, "outbox.txt", got, goldenBatch())
-	goldenfile.CheckDecoded(t, "outbox.txt", w.raw, goldenBatch().Encode())
+	goldenfile.CheckDecoded(t, "outbox.txt", batch.raw, goldenBatch().Encode())
 }
 
-func TestGoldenFiguresAreReadAndWrittenByteForByte(t *testing.T) {
+func TestGoldenStatsAreReadAndWrittenByteForByte(t *testing.T) {
 	goldenfile.CheckJSON(t, "figures.json", Stats{Counted: 1, Committed: 2, Queued: 3, InMemory: 4, OldestMS: 5,
 		Batches: 6, Attempts: 7, Duplicates: 8, Lost: 9, FileErrors: 10, CommitP50MS: 11.5, CommitP99MS: 12.25,
 		CommitMaxMS: 13.125})
 }
 
-func TestGoldenAnswerOfTheGroupIsRead(t *testing.T) {
+func TestGoldenResultOfTheGroupIsRead(t *testing.T) {
 	want := ledger.Result{Status: ledger.StatusCounted, Index: 8, Period: 9}
-	// The group's answer is written by package ledger, whose golden file this is.
+	// Package ledger encodes the result, so the golden file is in its directory.
 	raw, err := os.ReadFile(filepath.Join("..", "ledger", "testdata", "golden", "result.json"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/pending/outbox.go
+++ b/internal/cluster/pending/outbox.go
@@ -15,11 +15,12 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// outbox is the file of batches that aren't committed: a bbolt database with the batches by their keys, which
-// are 8 bytes in big endian and rise, and the last incarnation. What write has returned for is synced.
+// outbox is the file that stores the batches that aren't committed yet: a bbolt database with the last
+// incarnation and the batches by key. Keys are ascending numbers of 8 bytes in big endian. Once write has
+// returned without error, what it wrote is synced to disk.
 type outbox struct{ db *bolt.DB }
 
-// outboxFile is the name of the file in Options.Dir.
+// outboxFile is the name of the outbox in Options.Dir.
 const outboxFile = "outbox.db"
 
 var (
@@ -28,15 +29,15 @@
 	incarnationKey = []byte("incarnation")
 )
 
-// storedState is what an outbox held when it was opened, with the incarnation that begins.
+// storedState is the content of an outbox when it was opened, with the new incarnation.
 type storedState struct {
 	incarnation uint64
 	lastKey     uint64
 	batches     []queuedBatch
 }
 
-// openOutbox opens the file in a directory, making both where they are missing, and begins a new incarnation.
-// Errors name the file.
+// openOutbox opens the outbox in a directory and begins a new incarnation. It creates the directory and the
+// file if they don't exist. An error names the file.
 func openOutbox(dir string) (*outbox, storedState, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, storedState{}, err
@@ -44,22 +45,22 @@
 	path := filepath.Join(dir, outboxFile)
 	db, err := boltfile.Open(path, bolt.Options{})
 	if errors.Is(err, boltfile.ErrLocked) {
-		return nil, storedState{}, err // names the file
+		return nil, storedState{}, err // it names the file
 	}
 	if err != nil {
-		return nil, storedState{}, fmt.Errorf("%s: %w; moved away, the counts in it that were not promised "+
-			"are lost", path, err)
+		return nil, storedState{}, fmt.Errorf("%s: %w; if you move the file away, the usage in it that "+
+			"was not committed is lost", path, err)
 	}
 	o := &outbox{db: db}
 	stored, err := o.load()
 	if err != nil {
-		_ = db.Close() // the error of load is the one to report
+		_ = db.Close() // the error of load is the cause
 		return nil, storedState{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return o, stored, nil
 }
 
-// load begins a new incarnation and reads the batches.
+// load begins a new incarnation and returns it with the stored batches.
 func (o *outbox) load() (stored storedState, err error) {
 	err = o.db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
@@ -78,11 +79,11 @@
 	return stored, err
 }
 
-// addBatch adds a batch as it is in the file. The bytes of both arguments are valid only during the call.
+// addBatch adds a stored batch. Both slices are valid only during the call.
 func (s *storedState) addBatch(key, raw []byte) error {
 	batch, err := ledger.DecodeBatch(raw)
 	if err != nil {
-		return fmt.Errorf("batch %x: %w", key, err)
+		return fmt.Errorf("reading batch %x: %w", key, err)
 	}
 	s.lastKey = binary.BigEndian.Uint64(key)
 	s.batches = append(s.batches, queuedBatch{
@@ -94,8 +95,9 @@
 	return nil
 }
 
-// nextIncarnation stores and returns the next incarnation: above the last one, and no lower than the wall
-// clock in ms, so that a member that has lost its file doesn't come back under an earlier incarnation.
+// nextIncarnation stores and returns the next incarnation. It is greater than the last one, and at least
+// the wall clock in milliseconds since 1970, so that a member that has lost its file doesn't return with an
+// earlier incarnation.
 func nextIncarnation(meta *bolt.Bucket) (uint64, error) {
 	last := uint64(0)
 	if raw := meta.Get(incarnationKey); len(raw) == 8 {
@@ -105,6 +107,7 @@
 	return next, meta.Put(incarnationKey, binary.BigEndian.AppendUint64(nil, next))
 }
 
+// countAnswers returns the number of answers in a batch.
 func countAnswers(batch *ledger.Batch) (answers int64) {
 	for i := range batch.Usage {
 		answers += batch.Usage[i].Count + int64(len(batch.Usage[i].IDs))
@@ -112,7 +115,8 @@
 	return answers
 }
 
-// write adds a batch, unless it is empty, and deletes those that were committed, in one transaction.
+// write adds a batch, unless it is the zero one, and deletes the committed batches with the given keys, in
+// one transaction.
 func (o *outbox) write(batch queuedBatch, committed []uint64) error {
 	return o.db.Update(func(tx *bolt.Tx) error {
 		batches := tx.Bucket(batchesBucket)
--- a/internal/cluster/pending/recorder.go
+++ b/internal/cluster/pending/recorder.go
@@ -1,16 +1,16 @@
-// Package pending holds the usage that this member has counted until the ledger's Raft group has committed
-// it. A Recorder sums usage in memory, cuts a batch from it at each flush, stores the batch in the outbox, a
-// file of its own, and proposes it until the group has committed it: the transactional outbox pattern, where
-// the ledger recognizes a batch by member, incarnation and sequence number. Stats say how much is committed
-// and how much would be lost with this process or this machine's disk. A PeriodCloser proposes the end of
-// periods.
+// Package pending stores the usage that this member has counted until the ledger's Raft group has committed
+// it. A Recorder sums usage in memory, makes a batch of it at each flush, stores the batch in a file, the
+// outbox, and proposes it until the group has committed it. This is the transactional outbox pattern; the
+// ledger recognizes duplicates by the batch's member, incarnation and sequence number. Stats report how
+// much is committed and how much would be lost with this process or this machine's disk. A PeriodCloser
+// proposes to close the ledger's periods.
 //
-// Usage is in one of four states: current (in memory, not in a batch), writing (in a batch that a flush is
-// adding to the outbox), queued (in a batch, which is in the outbox unless the disk failed), and committed. A
-// committed batch is deleted from the outbox at the next flush.
+// Usage is in one of four states: current (in memory, in no batch yet), writing (in a batch that a flush is
+// adding to the outbox), queued (in a batch that waits for its commit and is in the outbox unless the disk
+// failed), and committed. A committed batch is deleted from the outbox by the next flush.
 //
-// A Recorder has two goroutines, the flusher and the sender, between Run and Close. Its methods may be called
-// from any goroutine.
+// Between Run and Close a Recorder runs two goroutines, the flusher and the sender. Its methods may be
+// called from any goroutine.
 package pending
 
 import (
@@ -27,51 +27,51 @@
 )
 
 const (
-	// maxBatchIDs bounds the request ids in a batch. Further answers are counted without their id.
+	// maxBatchIDs is the maximum number of request ids in a batch. Further answers are counted without their id.
 	maxBatchIDs = 20_000
-	// maxQueuedBatches bounds the batches that wait for the group, as Options.MaxQueuedBytes does. While either
-	// is reached no batch is cut, and the current usage is summed up without request ids.
+	// maxQueuedBatches bounds the number of queued batches, as Options.MaxQueuedBytes bounds their size. While
+	// either is reached, no batch is made, and the current usage is summed without request ids.
 	maxQueuedBatches = 4096
-	// maxCommitLatency is the longest latency that the quantiles in Stats tell apart; a longer one counts as it.
-	// commitLatencyDigits is their precision.
+	// maxCommitLatency is the longest latency that the quantiles in Stats can report; a longer one is recorded
+	// as this one. commitLatencyDigits is their precision in significant decimal digits.
 	maxCommitLatency    = time.Minute
 	commitLatencyDigits = 3
-	// commitPollInterval is how often WaitCommitted looks.
+	// commitPollInterval is the time between two checks of WaitCommitted.
 	commitPollInterval = 5 * time.Millisecond
 )
 
-// Faults injects faults into the disk, for tests and the laboratory.
+// Faults injects disk faults, for tests and experiments.
 type Faults interface {
-	// Sync runs before each write of the outbox, which fails with its error.
+	// Sync is called before each write of the outbox. If it returns an error, the write fails with that error.
 	Sync() error
 }
 
-// Options of a Recorder. The defaults are those of the client proxy's settings.
+// Options configure a Recorder. The defaults are those of the client proxy's settings.
 type Options struct {
 	// Member is this member's name, which its batches carry.
 	Member string
 	// Dir is the directory of the outbox, which has to survive restarts and belongs to one process at a time.
 	Dir string
-	// FlushInterval is the time between batches, and so the most usage, in time, that is lost with this process;
-	// 100 ms by default. Above zero.
+	// FlushInterval is the time between two flushes. Unless the disk fails or too many batches are queued, at
+	// most the usage of about that time is lost with this process. 100 ms by default. Above zero.
 	FlushInterval time.Duration
-	// MaxQueuedBytes bounds the batches that wait for the group, in bytes on disk; 64 MiB by default. Beyond it,
-	// as beyond maxQueuedBatches, usage waits in memory. Above zero.
+	// MaxQueuedBytes bounds the size of the queued batches, in encoded bytes; 64 MiB by default. Once it is
+	// reached, like maxQueuedBatches, usage stays in memory. Above zero.
 	MaxQueuedBytes int64
-	// Faults injects faults of the disk, for tests and the laboratory alone. Nil, the default, injects none.
+	// Faults injects disk faults, for tests and experiments only. Nil, the default, injects none.
 	Faults Faults
-	// Log takes the messages of the recorder. It must not be nil.
+	// Log receives the log messages of the recorder. It must not be nil.
 	Log *slog.Logger
-	// Propose commits a batch and returns its result. An error says that it may or may not be committed: the
-	// recorder proposes the same batch again. It is called by one goroutine.
+	// Propose commits a batch and returns its result. An error means that the batch may or may not be
+	// committed; the recorder then proposes the same batch again. It is called by one goroutine.
 	Propose func(ctx context.Context, batch []byte) (ledger.Result, error)
 }
 
 // queuedBatch is a batch that isn't committed yet.
 type queuedBatch struct {
-	key       uint64    // in the outbox, 0 if the disk didn't take it
-	raw       []byte    // ledger.Batch, encoded
-	answers   int64     // counted in it
+	key       uint64    // its key in the outbox, 0 if writing it there failed
+	raw       []byte    // the encoded ledger.Batch
+	answers   int64     // number of answers counted in it
 	createdAt time.Time // when its first answer was counted, or when it was read from the outbox
 }
 
@@ -79,16 +79,16 @@
 type current struct {
 	usage   map[ledger.Key]*ledger.KeyUsage
 	answers int64
-	ids     int       // request ids in usage; maxBatchIDs once they were dropped
-	since   time.Time // of the first answer
+	ids     int       // number of request ids in usage; maxBatchIDs once they were dropped
+	since   time.Time // when the first answer was counted
 }
 
-// Recorder counts and sends this member's usage. Use Open, then Run and Close, once each; Close may follow
-// Open.
+// Recorder counts this member's usage and sends it to the ledger's group. Call Open, Run and Close in this
+// order, once each; Run may be left out.
 //
 // Its invariants: batches are queued and sent in the order of their sequence numbers, one at a time; the
-// batch at the head of the queue is the one that the sender proposes; every answer that Count has counted is
-// in current, in the batch that is being written, in one that is queued, or committed, or lost.
+// sender proposes the batch at the head of the queue; every answer that Count has counted is in current, in
+// the batch that is being written, in a queued batch, committed, or lost.
 type Recorder struct {
 	opts        Options
 	outbox      *outbox
@@ -96,18 +96,18 @@
 
 	mu            sync.Mutex
 	current       current
-	writing       queuedBatch // on its way to the outbox, and from there into the queue; the zero one for none
-	seq           uint64      // of the last batch of this incarnation
-	lastKey       uint64      // of the last batch in the outbox
+	writing       queuedBatch // the batch that a flush is writing to the outbox; the zero batch if there is none
+	seq           uint64      // sequence number of the last batch of this incarnation
+	lastKey       uint64      // highest key that was given to a batch
 	queue         []queuedBatch
 	queuedBytes   int64
-	committedKeys []uint64 // committed and still in the outbox
+	committedKeys []uint64 // keys of committed or rejected batches that are still in the outbox
 	stats         Stats
 	commitLatency *hdrhistogram.Histogram // in microseconds, up to maxCommitLatency
-	maxLatency    time.Duration           // the longest, without a bound
+	maxLatency    time.Duration           // longest commit latency, not limited by maxCommitLatency
 
 	queued     chan struct{}   // wakes the sender
-	ctx        context.Context // ends with Close
+	ctx        context.Context // is canceled by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 	closeOnce  sync.Once
@@ -119,13 +119,13 @@
 	if opts.Member == "" || opts.FlushInterval <= 0 || opts.MaxQueuedBytes <= 0 {
 		return nil, errors.New("ledger.flush and ledger.outbox must be above zero")
 	}
-	box, stored, err := openOutbox(opts.Dir)
+	outbox, stored, err := openOutbox(opts.Dir)
 	if err != nil {
 		return nil, err
 	}
 	r := &Recorder{
 		opts:          opts,
-		outbox:        box,
+		outbox:        outbox,
 		incarnation:   stored.incarnation,
 		lastKey:       stored.lastKey,
 		queue:         stored.batches,
@@ -151,21 +151,22 @@
 	r.goroutines.Go(r.runSender)
 }
 
-// Close stops the goroutines, writes the current usage to the outbox, and closes it. The next incarnation
-// sends what isn't committed.
+// Close stops the goroutines, writes the current usage to the outbox, and closes it. What isn't committed
+// by then is sent by the next incarnation.
 func (r *Recorder) Close() error {
 	var err error
 	r.closeOnce.Do(func() {
 		r.cancel()
 		r.goroutines.Wait()
-		r.flush() // also deletes what was committed since the flusher's last one
+		r.flush() // also deletes the batches that were committed since the flusher's last flush
 		err = r.outbox.close()
 	})
 	return err
 }
 
-// Count counts one final answer, with the bytes of the bodies from and to the client. A request id of 0
-// stands for none. It only holds a lock, and never waits for the disk or the group.
+// Count counts one final answer, with the sizes in bytes of the bodies received from and sent to the
+// client. A request id of 0 means that there is none. Count takes a lock but never waits for the disk or
+// the group.
 func (r *Recorder) Count(key ledger.Key, id uint64, bytesIn, bytesOut int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,7 +191,8 @@
 	usage.BytesOutByID = append(usage.BytesOutByID, bytesOut)
 }
 
-// WaitCommitted waits until all that was counted is committed; it returns false after the timeout.
+// WaitCommitted waits until all usage that was counted is committed or rejected. It returns false after the
+// timeout.
 func (r *Recorder) WaitCommitted(timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(commitPollInterval) {
 		r.mu.Lock()
@@ -205,8 +207,8 @@
 	}
 }
 
-// DecodeResult decodes the answer of a group to a proposal, as Options.Propose has to return it. It takes the
-// results of such a call and passes its error on.
+// DecodeResult decodes a group's reply to a proposal for Options.Propose. It takes the results of the call
+// that proposes, and returns its error if there is one.
 func DecodeResult(raw json.RawMessage, err error) (ledger.Result, error) {
 	var result ledger.Result
 	if err == nil {
--- a/internal/cluster/pending/recorder_test.go
+++ b/internal/cluster/pending/recorder_test.go
@@ -11,8 +11,8 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// patience bounds every wait of a test; no verdict depends on how much of it is used.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of a test. No result depends on how much of it is used.
+const waitTimeout = 20 * time.Second
 
 var (
 	testKey         = ledger.Key{Tenant: "ramen-kita", Class: "zone-lookup", Answer: "passed"}
@@ -21,7 +21,7 @@
 	committedResult = ledger.Result{Status: ledger.StatusCounted}
 )
 
-// testGroup answers proposals with its result, or with its error while that is set.
+// testGroup answers proposals with result, or with err while that is set.
 type testGroup struct {
 	result ledger.Result
 	err    atomic.Pointer[error]
@@ -34,11 +34,12 @@
 	return g.result, nil
 }
 
-// failingDisk fails all writes.
+// failingDisk is a Faults that makes all writes fail.
 type failingDisk struct{}
 
 func (failingDisk) Sync() error { return errDiskFull }
 
+// startRecorder opens and runs a Recorder, which is closed at the end of the test.
 func startRecorder(t *testing.T, dir string, group *testGroup, faults Faults) *Recorder {
 	t.Helper()
 	r, err := Open(Options{Member: "odori-1", Dir: dir, FlushInterval: 5 * time.Millisecond,
@@ -58,12 +59,12 @@
 	}
 }
 
-// eventually waits until the stats are as they should be.
+// eventually waits until the stats satisfy a condition, and fails the test after waitTimeout.
 func eventually(t *testing.T, r *Recorder, reached func(Stats) bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !reached(r.Stats()); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !reached(r.Stats()); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("after %v: %+v", patience, r.Stats())
+			t.Fatalf("condition not reached after %v: %+v", waitTimeout, r.Stats())
 		}
 	}
 }
@@ -78,11 +79,11 @@
 		t.Errorf("committed without a leader: %+v", r.Stats())
 	}
 	group.err.Store(nil)
-	if !r.WaitCommitted(patience) {
-		t.Errorf("not committed in %v", patience)
+	if !r.WaitCommitted(waitTimeout) {
+		t.Errorf("not committed after %v", waitTimeout)
 	}
 	if s := r.Stats(); s.Committed != 1 || s.Batches != 1 || s.Queued != 0 || s.Attempts < 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("after the commit: %+v", s)
 	}
 }
 
@@ -102,33 +103,33 @@
 	closeRecorder(t, second)
 	third := startRecorder(t, dir, group, nil)
 	if s := third.Stats(); s.Counted != 0 {
-		t.Errorf("a committed batch is in the outbox: %+v", s)
+		t.Errorf("a committed batch is still in the outbox: %+v", s)
 	}
 }
 
-func TestBatchIsCommittedThoughTheDiskFails(t *testing.T) {
+func TestBatchIsCommittedDespiteDiskFailure(t *testing.T) {
 	r := startRecorder(t, t.TempDir(), &testGroup{result: committedResult}, failingDisk{})
 	r.Count(testKey, 7, 10, 20)
 	eventually(t, r, func(s Stats) bool { return s.Committed == 1 && s.FileErrors > 0 })
 }
 
-func TestRejectedBatchIsLost(t *testing.T) {
+func TestRejectedBatchCountsAsLost(t *testing.T) {
 	group := &testGroup{result: ledger.Result{Status: ledger.StatusStaleIncarnation}}
 	r := startRecorder(t, t.TempDir(), group, nil)
 	r.Count(testKey, 0, 10, 20)
 	eventually(t, r, func(s Stats) bool { return s.Lost == 1 && s.Committed == 0 })
 }
 
-func TestPeriodIsClosedByTheLeaderAlone(t *testing.T) {
-	var leads atomic.Bool
+func TestOnlyTheLeaderClosesPeriods(t *testing.T) {
+	var isLeader atomic.Bool
 	proposed := make(chan []byte, 1)
 	stop := make(chan struct{})
-	c := PeriodCloser{Period: 50 * time.Millisecond, IsLeader: leads.Load, Stop: stop,
+	c := PeriodCloser{Period: 50 * time.Millisecond, IsLeader: isLeader.Load, Stop: stop,
 		OpenPeriod: func() (uint64, bool) { return 3, true },
 		Propose: func(_ context.Context, cmd []byte) (ledger.Result, error) {
 			select {
 			case proposed <- cmd:
-			default: // the test has one already, and may be slow to read it
+			default: // an earlier command was not received yet
 			}
 			return ledger.Result{}, nil
 		}}
@@ -136,16 +137,16 @@
 	go func() { c.Run(); close(done) }()
 	time.Sleep(100 * time.Millisecond)
 	if len(proposed) > 0 {
-		t.Error("closed by a follower")
+		t.Error("a follower proposed to close the period")
 	}
-	leads.Store(true)
+	isLeader.Store(true)
 	l, err := ledger.New(ledger.Settings{MaxPeriods: 1, DedupPeriods: 1, MaxTenants: 1, MaxMembers: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Of a period that isn't the open one: the command decodes and closes nothing.
+	// The command is for period 3, and the open one is 1: the command decodes, but closes nothing.
 	if r := l.Apply(1, <-proposed); r.Status != ledger.StatusDuplicate {
-		t.Errorf("the leader proposed what comes to %v", r)
+		t.Errorf("applying the command that the leader proposed returns %v", r)
 	}
 	close(stop)
 	<-done
--- a/internal/cluster/pending/sender.go
+++ b/internal/cluster/pending/sender.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// proposeTimeout bounds one attempt.
+	// proposeTimeout bounds the duration of one proposal.
 	proposeTimeout = 2 * time.Second
-	// The backoff between attempts doubles from minBackoff to maxBackoff.
+	// minBackoff is the first backoff between two attempts to commit a batch. It doubles up to maxBackoff.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// runSender proposes the queued batches in their order, each until the group has committed it.
+// runSender proposes the queued batches in their order, each until the group has answered.
 func (r *Recorder) runSender() {
 	for {
 		batch, ok := r.nextBatch()
@@ -25,7 +25,8 @@
 	}
 }
 
-// nextBatch waits for the batch at the head of the queue; false once the recorder is closed.
+// nextBatch waits for a batch and returns the one at the head of the queue, false once the recorder is
+// closed.
 func (r *Recorder) nextBatch() (queuedBatch, bool) {
 	for {
 		r.mu.Lock()
@@ -43,7 +44,7 @@
 	}
 }
 
-// send proposes a batch until the group has answered; false once the recorder is closed.
+// send proposes a batch until the group has answered. It returns false once the recorder is closed.
 func (r *Recorder) send(batch queuedBatch) bool {
 	startedAt := time.Now()
 	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
@@ -61,7 +62,7 @@
 	}
 }
 
-// propose makes one attempt to commit a batch, and counts it.
+// propose makes one attempt to commit a batch, and counts the attempt.
 func (r *Recorder) propose(batch queuedBatch) (ledger.Result, error) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
@@ -72,8 +73,8 @@
 	return result, err
 }
 
-// handleResult takes the batch at the head of the queue off it and counts what became of it. Latency is that
-// from its first attempt.
+// handleResult removes the batch from the head of the queue and counts it by its result. latency is the
+// time since its first attempt.
 func (r *Recorder) handleResult(batch queuedBatch, result ledger.Result, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,8 +98,9 @@
 	}
 }
 
-// recordLatency records the latency of a batch that was committed. The caller holds r.mu.
+// recordLatency records the commit latency of a batch. The caller holds r.mu.
 func (r *Recorder) recordLatency(latency time.Duration) {
 	r.maxLatency = max(r.maxLatency, latency)
-	_ = r.commitLatency.RecordValue(min(latency, maxCommitLatency).Microseconds()) // it is within the bounds
+	// RecordValue can't fail, since the value is within the histogram's range.
+	_ = r.commitLatency.RecordValue(min(latency, maxCommitLatency).Microseconds())
 }
