--- a/internal/cluster/ledger/apply.go
+++ b/internal/cluster/ledger/apply.go
@@ -9,27 +9,27 @@
 // Result is the outcome of a command.
 type Result struct {
 	Status string `json:"status"`
-	Index  uint64 `json:"index"`            // of the command
-	Period uint64 `json:"period,omitempty"` // the open period, or the one that was closed or corrected
+	Index  uint64 `json:"index"`            // index of the command in the log
+	Period uint64 `json:"period,omitempty"` // the open period, or the one to be closed or corrected
 }
 
 // Values of Result.Status.
 const (
 	StatusCounted          = "counted"
-	StatusDuplicate        = "duplicate" // it was applied before
-	StatusStaleIncarnation = "past"      // of an incarnation before the member's latest: never counted
+	StatusDuplicate        = "duplicate" // the command was applied before
+	StatusStaleIncarnation = "past"      // a batch of an earlier incarnation of its member: never counted
 	StatusClosed           = "closed"
 	StatusCorrected        = "corrected"
 	StatusRejected         = "refused"
 )
 
-// String formats the result for messages.
+// String formats the result for logs and error messages.
 func (r Result) String() string {
 	return fmt.Sprintf("%s at %d in period %d", r.Status, r.Index, r.Period)
 }
 
-// Apply applies the command at an index of the log. A command that doesn't decode is counted and changes
-// nothing else, so that every replica decides the same.
+// Apply applies the command at an index of the log. A command that doesn't decode changes nothing except
+// Stats.Rejected and the applied index, so that every replica ends in the same state.
 func (l *Ledger) Apply(index uint64, data []byte) Result {
 	l.appliedIndex = index
 	if len(data) == 0 {
@@ -53,17 +53,18 @@
 	return l.reject()
 }
 
+// reject counts a command that doesn't decode or is of an unknown kind.
 func (l *Ledger) reject() Result {
 	l.stats.Rejected++
 	return l.result(StatusRejected, 0)
 }
 
-// result is the outcome of the command being applied.
+// result returns the outcome of the command that is being applied.
 func (l *Ledger) result(status string, period uint64) Result {
 	return Result{Status: status, Index: l.appliedIndex, Period: period}
 }
 
-// applyBatch counts a batch in the open period, unless it or a later one of its member was counted before.
+// applyBatch counts the usage in a batch, unless this batch or a later one of its member was counted before.
 func (l *Ledger) applyBatch(batch *Batch) Result {
 	open := l.OpenPeriod()
 	if batch.Member == "" || batch.Seq == 0 {
@@ -90,7 +91,8 @@
 	return l.result(StatusCounted, open)
 }
 
-// recordBatch makes a batch the latest of its member, and counts the sequence numbers left out before it.
+// recordBatch records a batch as the latest of its member, and counts the sequence numbers that are missing
+// before it.
 func (l *Ledger) recordBatch(sender *member, batch *Batch) {
 	previousSeq := sender.seq
 	if batch.Incarnation != sender.incarnation {
@@ -101,8 +103,8 @@
 	sender.incarnation, sender.seq, sender.index = batch.Incarnation, batch.Seq, l.appliedIndex
 }
 
-// countUsage counts the usage of one key: in the open period, or as a correction in the closed period in
-// which a request was answered first.
+// countUsage counts the usage of one key. It counts in the open period, except for an answer to a request
+// that was first answered in a period that is closed by now: that one counts there, as a correction.
 func (l *Ledger) countUsage(usage *KeyUsage) {
 	open := l.openPeriod()
 	if usage.Count > 0 {
@@ -112,9 +114,9 @@
 	for i, id := range usage.IDs {
 		single := Usage{Count: 1, BytesIn: usage.BytesInByID[i], BytesOut: usage.BytesOutByID[i]}
 		l.stats.Answers++
-		if first := l.periodOf(id); first != nil && first != open {
+		if closed := l.periodOf(id); closed != nil && closed != open {
 			l.stats.Late++
-			first.correct(l.boundedKey(first, usage.Key), single)
+			closed.correct(l.boundedKey(closed, usage.Key), single)
 			continue
 		}
 		open.count(l.boundedKey(open, usage.Key), single)
@@ -123,7 +125,7 @@
 }
 
 // applyClose closes the open period and opens the next one. Periods beyond Settings.MaxPeriods are dropped,
-// and the ids of those beyond Settings.DedupPeriods forgotten.
+// and the request ids of periods beyond Settings.DedupPeriods are forgotten.
 func (l *Ledger) applyClose(cmd *ClosePeriod) Result {
 	open := l.openPeriod()
 	if cmd.Period != open.id {
@@ -141,8 +143,8 @@
 	return l.result(StatusClosed, cmd.Period)
 }
 
-// mayDropOldest reports whether the oldest period is beyond Settings.MaxPeriods and nothing retains it. It
-// calls mayDrop, which counts, only for a period beyond them.
+// mayDropOldest reports whether the oldest period is beyond Settings.MaxPeriods and may be dropped. It calls
+// Ledger.mayDrop only for a period beyond that limit, since that function counts periods that are dropped.
 func (l *Ledger) mayDropOldest() bool {
 	if len(l.periods) <= l.settings.MaxPeriods+1 {
 		return false
@@ -150,6 +152,7 @@
 	return l.mayDrop == nil || l.mayDrop(l.periods[0].id)
 }
 
+// applyCorrection adds a correction to a closed period, unless one with the same id was added to it before.
 func (l *Ledger) applyCorrection(correction *Correction) Result {
 	closed := l.period(correction.Period)
 	switch {
--- a/internal/cluster/ledger/golden_test.go
+++ b/internal/cluster/ledger/golden_test.go
@@ -11,20 +11,22 @@
 	goldenOther = Key{Tenant: "soup-curry-chuo", Class: "zone-watch", Answer: "dropped"}
 	goldenRow   = Row{Key: goldenKey, Usage: Usage{Count: 31, BytesIn: 32, BytesOut: 33},
 		Corrections: Usage{Count: -34, BytesIn: -35, BytesOut: -36}}
-	goldenFigures = Stats{Batches: 41, Duplicates: 42, StaleIncarnations: 43, Gaps: 44, Answers: 45, Late: 46,
+	goldenStats = Stats{Batches: 41, Duplicates: 42, StaleIncarnations: 43, Gaps: 44, Answers: 45, Late: 46,
 		ForgottenIDs: 47,
 		Rejected:     48}
 )
 
+// goldenCorrection returns the correction in the golden files.
 func goldenCorrection() *Correction {
 	return &Correction{ID: "fix-1", Period: 7, Key: goldenKey, Usage: Usage{Count: -2, BytesIn: -300,
 		BytesOut: -70_000},
 		Reason: "counted twice"}
 }
 
-// Structs stand in the log as arrays, in the order of their fields: each field's value is its own, so that
-// two that change places show.
-func TestGoldenEntriesAreReadAndWrittenByteForByte(t *testing.T) {
+// TestGoldenCommandsAreReadAndWrittenByteForByte compares the commands in the log with the golden files.
+// Structs are encoded as arrays in the order of their fields; each field has a different value, so that the
+// test detects exchanged fields.
+func TestGoldenCommandsAreReadAndWrittenByteForByte(t *testing.T) {
 	batch := &Batch{Member: "odori-1", Incarnation: 1_790_000_000_123, Seq: 5, Usage: []KeyUsage{
 		{Key: goldenKey, Usage: Usage{Count: 11, BytesIn: 1200, BytesOut: 130_000}, IDs: []uint64{1, 1 << 40,
 			1<<64 - 1},
@@ -39,25 +41,25 @@
 	}
 	goldenfile.CheckDecoded(t, "batch.bin", got, batch)
 
-	fix := goldenCorrection()
-	goldenfile.CheckFieldsSet(t, "correction", fix)
-	c, ok := DecodeCorrection(goldenfile.CheckBytes(t, "correction.bin", fix.Encode()))
+	correction := goldenCorrection()
+	goldenfile.CheckFieldsSet(t, "correction", correction)
+	decoded, ok := DecodeCorrection(goldenfile.CheckBytes(t, "correction.bin", correction.Encode()))
 	if !ok {
-		t.Error("the correction does not decode")
+		t.Error("the golden correction does not decode")
 	}
-	goldenfile.CheckDecoded(t, "correction.bin", &c, fix)
+	goldenfile.CheckDecoded(t, "correction.bin", &decoded, correction)
 
-	end := &ClosePeriod{Period: 7, AtMS: 1_790_000_000_456}
-	held := goldenfile.CheckBytes(t, "close.bin", end.Encode())
+	closePeriod := &ClosePeriod{Period: 7, AtMS: 1_790_000_000_456}
+	data := goldenfile.CheckBytes(t, "close.bin", closePeriod.Encode())
 	l := newLedger(t)
 	l.periods = []*period{newPeriod(7)}
-	goldenfile.CheckDecoded(t, "close.bin", l.Apply(9, held), Result{Status: StatusClosed, Index: 9, Period: 7})
-	goldenfile.CheckDecoded(t, "close.bin", l.periods[0].closedMS, end.AtMS)
+	goldenfile.CheckDecoded(t, "close.bin", l.Apply(9, data), Result{Status: StatusClosed, Index: 9, Period: 7})
+	goldenfile.CheckDecoded(t, "close.bin", l.periods[0].closedMS, closePeriod.AtMS)
 }
 
 func TestGoldenSnapshotIsReadAndWrittenByteForByte(t *testing.T) {
 	want := newLedger(t)
-	want.appliedIndex, want.stats, want.idCount = 77, goldenFigures, 5
+	want.appliedIndex, want.stats, want.idCount = 77, goldenStats, 5
 	want.members = map[string]*member{"odori-1": {51, 52, 53}, "susukino-2": {54, 55, 56}}
 	closed := &period{id: 6, closedMS: 1_790_000_000_456, closedAtIndex: 61,
 		usage:         map[Key]*Usage{goldenKey: {62, 63, 64}, goldenOther: {65, 66, 67}},
@@ -65,11 +67,11 @@
 		correctionIDs: map[string]bool{"fix-1": true, "fix-2": true},
 		ids:           map[uint64]bool{1<<64 - 2: true, 3: true}, idOrder: []uint64{1<<64 - 2, 3},
 		tenants: map[string]bool{"ramen-kita": true, "soup-curry-chuo": true}}
-	opened := &period{id: 7, usage: map[Key]*Usage{goldenOther: {71, 72, 73}},
+	open := &period{id: 7, usage: map[Key]*Usage{goldenOther: {71, 72, 73}},
 		corrections: map[Key]*Usage{goldenOther: {74, 75, 76}}, correctionIDs: map[string]bool{"fix-3": true},
 		ids: map[uint64]bool{9: true, 8: true, 7: true}, idOrder: []uint64{9, 8, 7},
 		tenants: map[string]bool{OtherTenants: true}}
-	want.periods = []*period{closed, opened}
+	want.periods = []*period{closed, open}
 	got := newLedger(t)
 	if err := got.Restore(goldenfile.CheckBytes(t, "snapshot.bin", want.Snapshot())); err != nil {
 		t.Fatal(err)
@@ -78,9 +80,9 @@
 	goldenfile.CheckBytes(t, "snapshot.bin", got.Snapshot())
 }
 
-func TestGoldenAnswersAndQueriesAreReadAndWrittenByteForByte(t *testing.T) {
+func TestGoldenQueriesAndResultsAreReadAndWrittenByteForByte(t *testing.T) {
 	goldenfile.CheckJSON(t, "view.json", View{Index: 1, OpenPeriod: 2, Periods: []PeriodView{{ID: 3, ClosedMS: 4,
-		Rows: []Row{goldenRow}}}, Stats: goldenFigures, IDs: 5})
+		Rows: []Row{goldenRow}}}, Stats: goldenStats, IDs: 5})
 	goldenfile.CheckJSON(t, "query.json", Query{Tenant: "ramen-kita", Period: 7})
 	goldenfile.CheckJSON(t, "result.json", Result{Status: StatusCounted, Index: 8, Period: 9})
 	goldenfile.CheckJSON(t, "correction.json", *goldenCorrection())
--- a/internal/cluster/ledger/query.go
+++ b/internal/cluster/ledger/query.go
@@ -7,27 +7,27 @@
 
 // Query selects what Read returns.
 type Query struct {
-	Tenant string `json:"tenant,omitempty"` // "" for all
-	Period uint64 `json:"period,omitempty"` // 0 for all that are retained
+	Tenant string `json:"tenant,omitempty"` // "" for all tenants
+	Period uint64 `json:"period,omitempty"` // 0 for all periods that are retained
 }
 
 // View is the answer to a Query.
 type View struct {
-	Index      uint64       `json:"index"`   // of the last command applied
+	Index      uint64       `json:"index"`   // index of the last command applied
 	OpenPeriod uint64       `json:"open"`    // number of the open period
 	Periods    []PeriodView `json:"periods"` // oldest first
 	Stats      Stats        `json:"figures"`
-	IDs        int          `json:"ids"` // request ids remembered
+	IDs        int          `json:"ids"` // number of request ids remembered
 }
 
-// PeriodView is one period within a View.
+// PeriodView is one period in a View.
 type PeriodView struct {
 	ID       uint64 `json:"period"`
-	ClosedMS int64  `json:"closed_ms,omitempty"` // wall clock of whoever closed it, 0 while open
-	Rows     []Row  `json:"rows"`                // by key
+	ClosedMS int64  `json:"closed_ms,omitempty"` // ClosePeriod.AtMS of its close, 0 while it is open
+	Rows     []Row  `json:"rows"`                // sorted by key
 }
 
-// Read answers a query.
+// Read returns the answer to a query.
 func (l *Ledger) Read(query Query) View {
 	view := View{
 		Index:      l.appliedIndex,
@@ -66,6 +66,7 @@
 	return rows
 }
 
+// compareKeys orders keys by tenant, class and answer.
 func compareKeys(a, b Key) int {
 	return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Class, b.Class),
 		cmp.Compare(a.Answer, b.Answer))
--- a/internal/cluster/ledger/snapshot.go
+++ b/internal/cluster/ledger/snapshot.go
@@ -10,10 +10,11 @@
 	"cresshub/internal/cluster/logcodec"
 )
 
-// snapshotFormat is the version of the format; a snapshot of another one is not read.
+// snapshotFormat is the version of the snapshot format. A snapshot of another version can't be restored.
 const snapshotFormat = 1
 
-// snapshot, snapshotMember and snapshotPeriod are the stored form, see package logcodec.
+// snapshot, snapshotMember and snapshotPeriod are the stored form of the state. Package logcodec encodes
+// them as arrays, so that the order of their fields is part of the format.
 type snapshot struct {
 	Format       int
 	AppliedIndex uint64
@@ -36,7 +37,7 @@
 	Tenants           []string // sorted
 }
 
-// Snapshot encodes the full state. Equal states give equal bytes.
+// Snapshot encodes the complete state. Equal states result in equal bytes.
 func (l *Ledger) Snapshot() []byte {
 	state := snapshot{Format: snapshotFormat, AppliedIndex: l.appliedIndex, Stats: l.stats}
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
@@ -49,6 +50,7 @@
 	return logcodec.Encode(&state)
 }
 
+// snapshot returns the stored form of a period.
 func (p *period) snapshot() snapshotPeriod {
 	return snapshotPeriod{
 		ID:            p.id,
@@ -61,18 +63,18 @@
 	}
 }
 
-// Restore replaces the state by that of a snapshot; the settings and what SetMayDrop has set stay. A snapshot
-// that can't be read changes nothing.
+// Restore replaces the state by that of a snapshot. It doesn't change the settings or the function of
+// SetMayDrop. If it returns an error, the state is unchanged.
 func (l *Ledger) Restore(data []byte) error {
 	var state snapshot
 	if err := logcodec.Decode(data, &state); err != nil {
-		return fmt.Errorf("a snapshot that does not decode: %w", err)
+		return fmt.Errorf("decoding a snapshot: %w", err)
 	}
 	if state.Format != snapshotFormat {
-		return fmt.Errorf("a snapshot of format %d; this program reads %d", state.Format, snapshotFormat)
+		return fmt.Errorf("the snapshot has format %d; only format %d is supported", state.Format, snapshotFormat)
 	}
 	if len(state.Periods) == 0 {
-		return errors.New("a snapshot without a period")
+		return errors.New("the snapshot has no period")
 	}
 	l.appliedIndex, l.stats, l.idCount = state.AppliedIndex, state.Stats, 0
 	l.members, l.periods = map[string]*member{}, nil
@@ -87,6 +89,7 @@
 	return nil
 }
 
+// restore returns the period of its stored form.
 func (s *snapshotPeriod) restore() *period {
 	restored := newPeriod(s.ID)
 	restored.closedMS, restored.closedAtIndex = s.ClosedMS, s.ClosedAtIndex
@@ -115,6 +118,7 @@
 // packedIDSize is the size in bytes of a request id in a snapshot.
 const packedIDSize = 8
 
+// packIDs encodes request ids, each in packedIDSize bytes, in big endian.
 func packIDs(ids []uint64) []byte {
 	packed := make([]byte, 0, packedIDSize*len(ids))
 	for _, id := range ids {
