--- a/internal/router/chain/sim_bootstrap_test.go
+++ b/internal/router/chain/sim_bootstrap_test.go
@@ -9,42 +9,46 @@
 )
 
 const (
-	// bootstrapSeeds is how many seeds run without bootstrapSeedsVariable in the environment.
+	// bootstrapSeeds is how many seeds run if the environment variable bootstrapSeedsVariable is not set.
 	bootstrapSeeds         = 120
 	bootstrapSeedsVariable = "CHAIN_FOUND_SEEDS"
-	// bootstrapFaults is how long faults are injected, bootstrapRecovery how long the bootstrap may take after
-	// that.
-	bootstrapFaults   = 4 * time.Second
-	bootstrapRecovery = 22 * time.Second
+	// bootstrapFaultDuration is how long faults are injected. bootstrapRecoveryDuration is how long the
+	// bootstrap may take after that.
+	bootstrapFaultDuration    = 4 * time.Second
+	bootstrapRecoveryDuration = 22 * time.Second
+	// bootstrapInterval is the time between two calls of Node.Bootstrap.
 	bootstrapInterval = 800 * time.Millisecond
 )
 
-// TestSimulatedBootstrap bootstraps a chain while processes are killed, power and links fail, one disk is
-// lost and the bootstrapper may be lost for good. It has to end in one view that serves.
+// TestSimulatedBootstrap bootstraps a chain while processes are killed, machines lose power, links fail,
+// one disk is lost, and the bootstrapping machine may be removed for good. In the end all machines have to
+// serve in one view.
 func TestSimulatedBootstrap(t *testing.T) {
-	forEachSeed(t, fromEnvironment(bootstrapSeedsVariable, bootstrapSeeds), func(t *testing.T, seed int) {
+	forEachSeed(t, intFromEnvironment(bootstrapSeedsVariable, bootstrapSeeds), func(t *testing.T, seed int) {
 		t.Helper()
 		world := newWorld(int64(seed))
-		world.members = 3 + 2*(seed%2)
-		world.requiredReplicas = world.members/2 + 1
-		(&bootstrapWorld{simWorld: world}).play()
+		world.targetMembers = 3 + 2*(seed%2)
+		world.requiredReplicas = world.targetMembers/2 + 1
+		(&bootstrapWorld{simWorld: world}).runScenario()
 		if world.failure != "" {
-			world.describe()
+			world.traceMachineStates()
 			t.Fatalf("%s\n%s", world.failure, world.endOfTrace())
 		}
 	})
 }
 
-// bootstrapWorld is a world without a first view.
+// bootstrapWorld is a world that has no view at the start.
 type bootstrapWorld struct {
 	*simWorld
+	// bootstrapper is the machine that calls Bootstrap; with or without a disk.
 	bootstrapper *simMachine
-	diskLost     bool
+	// diskLost means that a disk was lost already.
+	diskLost bool
 }
 
-// play bootstraps the world under faults and checks that it serves after them.
-func (w *bootstrapWorld) play() {
-	for i := range w.members {
+// runScenario bootstraps the chain while faults are injected, and checks that the machines serve after that.
+func (w *bootstrapWorld) runScenario() {
+	for i := range w.targetMembers {
 		w.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true)
 	}
 	w.bootstrapper = w.machines["10.0.0.1"]
@@ -55,23 +59,24 @@
 		w.machines[address].node.SetContacts(w.contacts())
 	}
 	w.keepBootstrapping()
-	w.fault()
-	w.run(bootstrapFaults)
-	w.tracef("all faults end")
+	w.scheduleFaults()
+	w.run(bootstrapFaultDuration)
+	w.tracef("all faults have ended")
 	healer := &nemesis{world: w.simWorld}
 	healer.healAll()
-	if w.bootstrapper.removed && !w.anyConsent() {
-		return // no machine is left that could bootstrap
+	if w.bootstrapper.removed && !w.anyFirstViewAccepted() {
+		return // no machine is left that could complete the bootstrap
 	}
-	w.run(bootstrapRecovery)
-	if !w.anyView() {
-		w.failf("not bootstrapped")
+	w.run(bootstrapRecoveryDuration)
+	if !w.anyViewKnown() {
+		w.failf("no machine knows a view after all faults have ended")
 		return
 	}
 	mustServe(w.simWorld)
 }
 
-// keepBootstrapping has the bootstrapper call Bootstrap at intervals with the machines that it knows.
+// keepBootstrapping has the bootstrapper call Bootstrap every bootstrapInterval with a random selection of
+// the machines that are up and have a disk, each of which is included with a probability of 90%.
 func (w *bootstrapWorld) keepBootstrapping() {
 	if w.bootstrapper.removed {
 		return
@@ -88,14 +93,14 @@
 	w.after(bootstrapInterval, w.keepBootstrapping)
 }
 
-// fault injects faults at random times.
-func (w *bootstrapWorld) fault() {
+// scheduleFaults injects random faults at random times during the first bootstrapFaultDuration.
+func (w *bootstrapWorld) scheduleFaults() {
 	faults := &nemesis{world: w.simWorld}
 	w.after(time.Duration(w.random.Int63n(int64(500*time.Millisecond))), func() {
-		if w.now >= bootstrapFaults {
+		if w.now >= bootstrapFaultDuration {
 			return
 		}
-		machine := faults.machine()
+		machine := faults.drawMachine()
 		switch w.random.Intn(8) {
 		case 0:
 			w.restart(machine, faultfs.KeepAll)
@@ -116,53 +121,57 @@
 		default:
 			faults.partitionOneWay(machine)
 		}
-		w.fault()
+		w.scheduleFaults()
 	})
 }
 
-// restart stops a machine and starts it again later, without AllowBootstrap.
+// restart crashes a machine and boots it again later, without Config.AllowBootstrap unless it is the
+// bootstrapper, whose configuration has it set at every start.
 func (w *bootstrapWorld) restart(machine *simMachine, loss faultfs.Loss) {
 	if machine.removed {
 		return
 	}
-	w.tracef("%s is started again", machine.address)
-	machine.firstStart = machine == w.bootstrapper // a bootstrapper that is configured so continues
-	w.downAt(machine, loss)
+	w.tracef("%s restarts", machine.address)
+	machine.allowBootstrap = machine == w.bootstrapper
+	w.crashAndRestart(machine, loss)
 }
 
-// loseDisk wipes one disk of the world.
+// loseDisk wipes a machine's disk, unless a disk was lost already or its loss isn't tolerated now. Before a
+// view is known, one loss is tolerated.
 func (w *bootstrapWorld) loseDisk(machine *simMachine) {
-	if w.diskLost || !machine.hasDisk || w.anyView() && !(&nemesis{world: w.simWorld}).mayLoseDisk() {
+	if w.diskLost || !machine.hasDisk || w.anyViewKnown() && !(&nemesis{world: w.simWorld}).mayLoseDisk() {
 		return
 	}
 	w.tracef("%s loses its disk", machine.address)
 	w.diskLost = true
-	w.wipeAt(machine)
+	w.crashAndWipe(machine)
 }
 
-// loseBootstrapper removes a bootstrapper without a disk once some machine has accepted a first view.
+// loseBootstrapper removes the bootstrapper for good if it has no disk and a machine has accepted a first
+// view.
 func (w *bootstrapWorld) loseBootstrapper() {
-	if w.bootstrapper.hasDisk || w.bootstrapper.removed || !w.anyConsent() {
+	if w.bootstrapper.hasDisk || w.bootstrapper.removed || !w.anyFirstViewAccepted() {
 		return
 	}
-	w.tracef("the bootstrapper is lost for good")
+	w.tracef("the bootstrapper is removed for good")
 	w.bootstrapper.crash(faultfs.KeepAll)
 	w.bootstrapper.removed = true
 }
 
-// anyConsent reports whether a machine that is up has accepted a first view.
-func (w *bootstrapWorld) anyConsent() bool {
+// anyFirstViewAccepted reports whether any machine that is up has accepted a first view.
+func (w *bootstrapWorld) anyFirstViewAccepted() bool {
 	return w.anyMachine(func(n *Node) bool { return n.stable.acceptedFirstView.Epoch > 0 })
 }
 
-// anyView reports whether a machine knows a view.
-func (w *bootstrapWorld) anyView() bool {
+// anyViewKnown reports whether any machine that is up knows a decided view.
+func (w *bootstrapWorld) anyViewKnown() bool {
 	return w.anyMachine(func(n *Node) bool { return n.View().Epoch > 0 })
 }
 
-func (w *bootstrapWorld) anyMachine(is func(*Node) bool) bool {
+// anyMachine reports whether the node of any machine that is up satisfies a condition.
+func (w *bootstrapWorld) anyMachine(satisfies func(*Node) bool) bool {
 	for _, address := range w.addresses {
-		if machine := w.machines[address]; machine.up() && is(machine.node) {
+		if machine := w.machines[address]; machine.up() && satisfies(machine.node) {
 			return true
 		}
 	}
--- a/internal/router/chain/sim_loss_test.go
+++ b/internal/router/chain/sim_loss_test.go
@@ -11,96 +11,106 @@
 )
 
 const (
-	// lossStep is how many of the numbered points are passed over between two that get a loss, without
-	// lossStepVariable in the environment.
-	lossStep         = 11
-	lossStepVariable = "CHAIN_LOSS_STEP"
-	// lossGrace bounds how long a draining machine keeps running.
-	lossGrace = 5 * time.Second
-	// lossRepair is how long after a first loss points are numbered, lossRecovery how long recovery may take.
-	lossRepair   = 4 * time.Second
-	lossRecovery = 6 * time.Second
+	// lossPointStep is the distance between the numbers of the fault injection points at which disks are lost,
+	// if the environment variable lossPointStepVariable is not set.
+	lossPointStep         = 11
+	lossPointStepVariable = "CHAIN_LOSS_STEP"
+	// lossDrainGracePeriod is how long a draining machine keeps running at most.
+	lossDrainGracePeriod = 5 * time.Second
+	// lossRepairDuration is how long the fault injection points after a first loss are counted, and how long its
+	// repair may take. lossRecoveryDuration is how long recovery from the further losses may take.
+	lossRepairDuration   = 4 * time.Second
+	lossRecoveryDuration = 6 * time.Second
 )
 
-// firstLoss is what begins a repair or a replacement.
+// firstLoss is an event that makes the members repair or replace one of them.
 type firstLoss struct {
 	name string
-	// planned says that the machine isn't counted as lost: its replacement is there already.
+	// planned means that the machine drains before it is removed, and so isn't counted as lost.
 	planned bool
-	do      func(world *lossWorld, machine *simMachine)
+	inject  func(world *lossWorld, machine *simMachine)
 }
 
-// firstLosses are the ways in which a member is lost.
+// firstLosses are the ways in which a first member is lost.
 var firstLosses = []firstLoss{
-	{"disk lost", false, func(world *lossWorld, machine *simMachine) { world.wipeAt(machine) }},
-	{"machine lost, another replaces it", false,
+	{"disk lost", false, func(world *lossWorld, machine *simMachine) { world.crashAndWipe(machine) }},
+	{"machine lost and replaced by another", false,
 		func(world *lossWorld, machine *simMachine) { world.remove(machine) }},
-	{"machine drains, its replacement is there", true,
+	{"machine drained and replaced by another", true,
 		func(world *lossWorld, machine *simMachine) { world.drain(machine) }},
 }
 
-// lossWorld is a world of 2 tolerate + 1 members and one candidate.
+// lossWorld is a world whose chain tolerates the loss of toleratedLosses disks. It has 2*toleratedLosses+1
+// members, one candidate and one machine without a disk.
 type lossWorld struct {
 	*simWorld
-	tolerate int
+	toleratedLosses int
 }
 
-// TestLossesAtEachPointOfAReplacement takes as many disks as are tolerated, the first member included unless
-// it drains as planned, at numbered points of its replacement: also while all others lose power. What was
-// acknowledged survives, and all machines serve.
+// TestLossesAtEachPointOfAReplacement loses as many disks as the chain tolerates, at every lossPointStep-th
+// fault injection point while a first member is replaced. The first member counts as one of the losses
+// unless it is drained. In half of the cases all other machines lose power at the same point. Acknowledged
+// writes have to survive, and all remaining machines have to serve.
 func TestLossesAtEachPointOfAReplacement(t *testing.T) {
-	step := fromEnvironment(lossStepVariable, lossStep)
-	for tolerate := 1; tolerate <= 3; tolerate++ {
+	step := intFromEnvironment(lossPointStepVariable, lossPointStep)
+	for tolerated := 1; tolerated <= 3; tolerated++ {
 		for _, first := range firstLosses {
-			more := tolerate
+			furtherLosses := tolerated
 			if !first.planned {
-				more--
+				furtherLosses--
 			}
-			for _, power := range []bool{false, true} {
-				t.Run(fmt.Sprint("tolerate ", tolerate, ", ", first.name, ", power lost ", power), func(t *testing.T) {
+			for _, powerLoss := range []bool{false, true} {
+				t.Run(fmt.Sprint("tolerate ", tolerated, ", ", first.name, ", power loss ", powerLoss), func(
+					t *testing.T,
+				) {
 					t.Parallel()
 					c := qt.New(t)
 					number := 1
-					for more > 0 && loseAtPoint(c, tolerate, first, more, power, number) {
+					for furtherLosses > 0 && loseAtPoint(c, tolerated, first, furtherLosses, powerLoss, number) {
 						number += step
 					}
-					c.Logf("%d points", number)
-					c.Assert(more == 0 || number > 20, qt.IsTrue)
+					c.Logf("%d fault injection points", number)
+					c.Assert(furtherLosses == 0 || number > 20, qt.IsTrue)
 				})
 			}
 		}
 	}
 }
 
-// loseAtPoint plays one replacement with a loss at a numbered point; false means that it has fewer points.
-func loseAtPoint(c *qt.C, tolerate int, first firstLoss, more int, power bool, number int) bool {
-	world := newLossWorld(c, tolerate)
-	victim := world.machines[fmt.Sprintf("10.0.0.%d", 1+number%world.members)]
-	reached := 0
+// loseAtPoint simulates one replacement, with furtherLosses lost disks at the fault injection point with a
+// number, counted from 1. It returns false if the replacement has fewer points.
+func loseAtPoint(
+	c *qt.C, tolerated int, first firstLoss, furtherLosses int, powerLoss bool, number int,
+) bool {
+	world := newLossWorld(c, tolerated)
+	victim := world.machines[fmt.Sprintf("10.0.0.%d", 1+number%world.targetMembers)]
+	points := 0
 	label := ""
-	world.point = func(machine *simMachine, name string) {
-		reached++
-		if reached == number {
-			world.point = nil
-			label = fmt.Sprintf("%s of %s, point %d: %s %s", first.name, victim.address, number, machine.address, name)
-			world.lose(machine, victim, more, power)
+	world.onPoint = func(machine *simMachine, name string) {
+		points++
+		if points == number {
+			world.onPoint = nil
+			label = fmt.Sprintf("%s of %s, point %d: %s %s",
+				first.name, victim.address, number, machine.address, name)
+			world.loseDisks(machine, victim, furtherLosses, powerLoss)
 		}
 	}
-	first.do(world, victim)
+	first.inject(world, victim)
 	world.writeAt("10.0.0.9", 1, 2, "two")
-	world.run(lossRepair)
-	if world.point != nil {
+	world.run(lossRepairDuration)
+	if world.onPoint != nil {
 		return false
 	}
-	world.run(lossRecovery)
+	world.run(lossRecoveryDuration)
 	world.mustServeAcknowledged(c, label)
 	return true
 }
 
-// newLossWorld bootstraps a world in which version 1 is committed, and lets it stabilize.
-func newLossWorld(c *qt.C, tolerate int) *lossWorld {
-	world := &lossWorld{newWorld(int64(tolerate)), tolerate}
-	world.members, world.requiredReplicas = 2*tolerate+1, tolerate+1
+// newLossWorld bootstraps a world whose chain tolerates a number of lost disks, commits version 1 and runs
+// until the chain is stable.
+func newLossWorld(c *qt.C, tolerated int) *lossWorld {
+	world := &lossWorld{newWorld(int64(tolerated)), tolerated}
+	world.targetMembers, world.requiredReplicas = 2*tolerated+1, tolerated+1
 	bootstrapMembers(world.simWorld)
 	outcome := world.writeAt("10.0.0.1", 0, 1, "one")
 	world.run(time.Second)
@@ -108,35 +118,37 @@
 	return world
 }
 
-// lose takes disks at a point: first that of the machine that has reached it, then of others with a disk that
-// still have theirs; a member that is lost anyway isn't counted twice. All others may lose power as well.
-func (w *lossWorld) lose(at, victim *simMachine, more int, power bool) {
+// loseDisks crashes and wipes a number of machines: first the one that has reached the fault injection
+// point, then others. It skips the victim of the first loss, and machines that are removed or have no disk.
+// With powerLoss, all other machines that are up lose power.
+func (w *lossWorld) loseDisks(reachedPoint, victim *simMachine, count int, powerLoss bool) {
 	lost := map[string]bool{}
-	for _, machine := range append([]*simMachine{at}, w.disks()...) {
-		if len(lost) < more && machine.hasDisk && machine != victim && !machine.removed && !lost[machine.address] {
+	for _, machine := range append([]*simMachine{reachedPoint}, w.machinesWithDisk()...) {
+		if len(lost) < count && machine.hasDisk && machine != victim && !machine.removed &&
+			!lost[machine.address] {
 			lost[machine.address] = true
-			w.wipeAt(machine)
+			w.crashAndWipe(machine)
 		}
 	}
-	if !power {
+	if !powerLoss {
 		return
 	}
 	for _, address := range w.addresses {
 		if machine := w.machines[address]; !lost[address] && !machine.removed && machine.up() {
-			w.downAt(machine, faultfs.LoseAll)
+			w.crashAndRestart(machine, faultfs.LoseAll)
 		}
 	}
 }
 
-// disks returns the machines with a disk.
-func (w *lossWorld) disks() []*simMachine {
-	var disks []*simMachine
+// machinesWithDisk returns the machines that have a disk, the removed ones included.
+func (w *lossWorld) machinesWithDisk() []*simMachine {
+	var machines []*simMachine
 	for _, address := range w.addresses {
 		if machine := w.machines[address]; machine.hasDisk {
-			disks = append(disks, machine)
+			machines = append(machines, machine)
 		}
 	}
-	return disks
+	return machines
 }
 
 // remove removes a machine for good.
@@ -145,13 +157,13 @@
 	machine.removed = true
 }
 
-// drain drains a machine, and removes it when it is drained or its time is up.
+// drain drains a machine, and removes it when it is drained or after lossDrainGracePeriod.
 func (w *lossWorld) drain(machine *simMachine) {
-	began := w.now
+	startedAt := w.now
 	machine.step(func(n *Node) Effects { return n.Drain(w.now) })
 	var check func()
 	check = func() {
-		if machine.up() && !machine.node.Drained() && w.now-began < lossGrace {
+		if machine.up() && !machine.node.Drained() && w.now-startedAt < lossDrainGracePeriod {
 			w.after(simTick, check)
 			return
 		}
@@ -160,11 +172,12 @@
 	w.after(simTick, check)
 }
 
-// mustServeAcknowledged checks that all machines that are left read the acknowledged value, and that a write
-// is applied.
+// mustServeAcknowledged checks that a retry of the write of version 2 is acknowledged, that all remaining
+// machines read its value, that a retry of the write of version 1 is acknowledged, and that a new write is
+// applied.
 func (w *lossWorld) mustServeAcknowledged(c *qt.C, label string) {
 	comment := qt.Commentf("%s", label)
-	two := w.writeAt("10.0.0.9", 1, 2, "two") // a retry
+	two := w.writeAt("10.0.0.9", 1, 2, "two") // retries the write that the caller has started
 	w.run(time.Second)
 	c.Assert(*two, qt.Equals, Applied, comment)
 	for _, address := range w.addresses {
@@ -184,34 +197,35 @@
 	c.Assert(w.failure, qt.Equals, "", comment)
 }
 
-// TestLossRightAfterARepair takes a second disk as soon as the first loss is repaired: the replacement is in
-// the view and the chain is open at all of its replicas.
+// TestLossRightAfterARepair loses a second disk as soon as the first loss is repaired, that is, when a view
+// that includes the replacement is open at all of its replicas.
 func TestLossRightAfterARepair(t *testing.T) {
 	c := qt.New(t)
 	for _, first := range firstLosses {
-		longest := time.Duration(0)
+		longestRepair := time.Duration(0)
 		for choice := range 3 * 3 * 2 {
 			world := newLossWorld(c, 1)
-			victim, second := world.disks()[choice/2%3], world.disks()[choice/6]
-			began := world.now
-			first.do(world, victim)
+			victim, second := world.machinesWithDisk()[choice/2%3], world.machinesWithDisk()[choice/6]
+			startedAt := world.now
+			first.inject(world, victim)
 			repaired := func() bool {
 				view := world.machines["10.0.0.9"].node.View()
 				return view.Epoch > 1 && len(view.Chain) == 3 && (&nemesis{world: world.simWorld}).mayLoseDisk()
 			}
 			for world.run(simTick); !repaired(); world.run(simTick) {
-				c.Assert(world.now-began < lossRepair, qt.IsTrue, qt.Commentf("%s of %s", first.name, victim.address))
+				c.Assert(world.now-startedAt < lossRepairDuration, qt.IsTrue,
+					qt.Commentf("%s of %s", first.name, victim.address))
 			}
-			longest = max(longest, world.now-began)
+			longestRepair = max(longestRepair, world.now-startedAt)
 			if second.removed {
 				continue
 			}
-			world.lose(second, nil, 1, choice%2 == 1)
+			world.loseDisks(second, nil, 1, choice%2 == 1)
 			world.writeAt("10.0.0.9", 1, 2, "two")
-			world.run(lossRecovery)
+			world.run(lossRecoveryDuration)
 			world.mustServeAcknowledged(c, fmt.Sprintf("%s of %s, then %s", first.name, victim.address,
 				second.address))
 		}
-		c.Logf("%s: repaired after %v at most", first.name, longest)
+		c.Logf("%s: repaired after %v at most", first.name, longestRepair)
 	}
 }
--- a/internal/router/chain/sim_machine_test.go
+++ b/internal/router/chain/sim_machine_test.go
@@ -8,40 +8,44 @@
 	"cresshub/internal/segmentlog/faultfs"
 )
 
-// simFolder is where a simulated log is.
-const simFolder = "state"
+// simLogDir is the directory of a machine's log on its simulated disk.
+const simLogDir = "state"
 
-// simSync is how long a simulated machine's disk takes for one step's records.
-const simSync = time.Millisecond
+// simSyncDelay is how long a simulated disk takes to persist the records of one step, unless a test sets
+// simMachine.syncDelay.
+const simSyncDelay = time.Millisecond
 
-// simMachine is one machine at one address: its disk, and its node if it is up.
+// simMachine is one simulated machine: its address, its disk, and its node while its process is running.
 type simMachine struct {
 	world   *simWorld
 	address string
 	hasDisk bool
-	// firstStart is Config.AllowBootstrap of the next start.
-	firstStart bool
-	disk       *faultfs.FS
-	log        *segmentlog.Log
-	node       *Node
-	// incarnation counts starts, so that events of an earlier incarnation are dropped.
+	// allowBootstrap is the Config.AllowBootstrap with which the process starts the next time.
+	allowBootstrap bool
+	disk           *faultfs.FS
+	log            *segmentlog.Log
+	node           *Node
+	// incarnation counts the starts and stops of the process, so that events of an earlier incarnation are
+	// ignored.
 	incarnation int
 	// maxCommitted is the highest sequence that this incarnation has known to be committed.
 	maxCommitted uint64
-	// syncDelay is how long the disk takes for one step's records.
+	// syncDelay is how long the disk takes to persist the records of one step.
 	syncDelay time.Duration
-	// busyUntil is when a sync or a stall of the process ends and the next event is handled.
+	// busyUntil is when the current sync of the disk or stall of the process ends. Until then the node handles
+	// no event.
 	busyUntil time.Duration
-	// removed says that the machine never starts again.
+	// removed means that the machine never starts again.
 	removed bool
-	// waiting are the callbacks of local requests, by number.
-	waiting map[uint64]func(Reply)
+	// pendingRequests are the callbacks of local requests that are not answered yet, by request number.
+	pendingRequests map[uint64]func(Reply)
 }
 
-// addMachine makes a machine with an empty disk and starts it.
-func (w *simWorld) addMachine(address string, hasDisk, first bool) *simMachine {
+// addMachine adds a machine with an empty disk and starts it.
+func (w *simWorld) addMachine(address string, hasDisk, allowBootstrap bool) *simMachine {
 	machine := &simMachine{
-		world: w, address: address, hasDisk: hasDisk, firstStart: first, disk: faultfs.New(), syncDelay: simSync,
+		world: w, address: address, hasDisk: hasDisk, allowBootstrap: allowBootstrap, disk: faultfs.New(),
+		syncDelay: simSyncDelay,
 	}
 	w.machines[address] = machine
 	w.addresses = append(w.addresses, address)
@@ -49,25 +53,26 @@
 	return machine
 }
 
-// config returns the node's configuration.
+// config returns the configuration for the next start, with a newly drawn identity and random source.
 func (m *simMachine) config() Config {
 	return Config{
-		Self: Member{m.world.newIdentity(), m.address}, HasDisk: m.hasDisk, AllowBootstrap: m.firstStart,
-		TargetMembers: m.world.members, RequiredReplicas: m.world.requiredReplicas,
+		Self: Member{m.world.newIdentity(), m.address}, HasDisk: m.hasDisk, AllowBootstrap: m.allowBootstrap,
+		TargetMembers: m.world.targetMembers, RequiredReplicas: m.world.requiredReplicas,
 		HistoryLength: m.world.historyLength,
 		Random:        rand.New(rand.NewSource(m.world.random.Int63())),
 	}
 }
 
-// up reports whether the machine's process runs.
+// up reports whether the machine's process is running.
 func (m *simMachine) up() bool { return m.node != nil }
 
-// boot starts the machine's process from its disk.
+// boot starts the machine's process, which restores its state from the disk. A log that is found corrupt is
+// discarded.
 func (m *simMachine) boot() {
 	world := m.world
 	m.incarnation++
 	m.busyUntil = world.now
-	m.waiting = map[uint64]func(Reply){}
+	m.pendingRequests = map[uint64]func(Reply){}
 	var records [][]byte
 	if m.hasDisk {
 		var err error
@@ -76,9 +81,9 @@
 			MaxGrowth: world.segmentGrowth,
 		}
 		var damage *segmentlog.CorruptionError
-		m.log, records, damage, err = segmentlog.OpenOrReset(m.disk, simFolder, options)
+		m.log, records, damage, err = segmentlog.OpenOrReset(m.disk, simLogDir, options)
 		if damage != nil {
-			world.tracef("%s discards its log: %v", m.address, damage)
+			world.tracef("%s found its log corrupt and discarded it: %v", m.address, damage)
 			world.history.damagedLogs++
 		}
 		if err != nil {
@@ -88,7 +93,7 @@
 	}
 	node, effects, err := Open(m.config(), world.now, records)
 	if err != nil {
-		world.failf("%s: %v", m.address, err)
+		world.failf("opening the node of %s: %v", m.address, err)
 		return
 	}
 	m.node, m.maxCommitted = node, 0
@@ -100,14 +105,15 @@
 			return
 		}
 	}
-	world.tracef("%s starts as %s", m.address, node.Self().ID)
+	world.tracef("%s started with identity %s", m.address, node.Self().ID)
 	m.release(effects)
-	m.ticks(m.incarnation)
+	m.keepTicking(m.incarnation)
 }
 
-// bootFailed retries later if the disk may work by then.
+// bootFailed handles a disk error at the start of the process: after 300 ms it restarts the disk and boots
+// again.
 func (m *simMachine) bootFailed(err error) {
-	m.world.tracef("%s can't start: %v", m.address, err)
+	m.world.tracef("%s failed to start: %v", m.address, err)
 	incarnation := m.incarnation
 	m.world.after(300*time.Millisecond, func() {
 		if m.incarnation == incarnation && !m.up() && !m.removed {
@@ -117,16 +123,17 @@
 	})
 }
 
-// ticks calls Tick at intervals until the incarnation ends.
-func (m *simMachine) ticks(incarnation int) {
+// keepTicking calls Tick every simTick until the incarnation ends.
+func (m *simMachine) keepTicking(incarnation int) {
 	if m.incarnation != incarnation || !m.up() {
 		return
 	}
 	m.step(func(n *Node) Effects { return n.Tick(m.world.now) })
-	m.world.after(simTick, func() { m.ticks(incarnation) })
+	m.world.after(simTick, func() { m.keepTicking(incarnation) })
 }
 
-// step runs one step of the node, later if the machine is busy.
+// step has the node handle one event and carries out the effects; if the machine is busy, as soon as it no
+// longer is. An event for a machine that is down is dropped.
 func (m *simMachine) step(do func(*Node) Effects) {
 	world := m.world
 	if !m.up() {
@@ -144,39 +151,41 @@
 	m.perform(do(m.node))
 }
 
-// reachPoint reaches a numbered point and reports whether the machine still runs after it.
+// reachPoint is called at each fault injection point. It calls simWorld.onPoint, which may crash the machine,
+// and reports whether the same incarnation is still running after that.
 func (m *simMachine) reachPoint(name string) bool {
 	incarnation := m.incarnation
-	if m.world.point != nil {
-		m.world.point(m, name)
+	if m.world.onPoint != nil {
+		m.world.onPoint(m, name)
 	}
 	return m.up() && m.incarnation == incarnation
 }
 
-// perform persists records and releases what depends on them when the disk is done.
+// perform carries out the effects of a step: it persists the records, and releases the messages and replies
+// once the disk has synced.
 func (m *simMachine) perform(effects Effects) {
 	if len(effects.Persist) == 0 || !m.hasDisk {
 		m.observe()
 		m.release(effects)
 		return
 	}
-	if !m.reachPoint("before the records") {
+	if !m.reachPoint("before persisting") {
 		return
 	}
 	if err := m.log.Append(effects.Persist...); err != nil {
 		if m.disk.Down() {
-			m.world.tracef("%s crashes at its disk", m.address)
+			m.world.tracef("%s crashed during a disk operation", m.address)
 			m.stop()
 			return
 		}
-		m.world.tracef("%s: %v", m.address, err)
+		m.world.tracef("%s failed to persist records: %v", m.address, err)
 		effects = m.node.PersistFailed(m.world.now)
 		m.observe()
 		m.release(effects)
 		return
 	}
 	m.observe()
-	if !m.reachPoint("behind the records") {
+	if !m.reachPoint("after persisting") {
 		return
 	}
 	incarnation := m.incarnation
@@ -188,14 +197,15 @@
 	})
 }
 
-// release sends messages and delivers replies.
+// release sends the messages of a step and delivers its replies to the callers, unless the machine crashes
+// at a fault injection point before.
 func (m *simMachine) release(effects Effects) {
 	for _, envelope := range effects.Messages {
-		if isPathMessage(envelope.Message.Kind) && !m.reachPoint("before a message") {
+		if isWritePathMessage(envelope.Message.Kind) && !m.reachPoint("before a message") {
 			return
 		}
 		m.world.transmit(m.address, envelope)
-		if isPathMessage(envelope.Message.Kind) && !m.reachPoint("behind a message") {
+		if isWritePathMessage(envelope.Message.Kind) && !m.reachPoint("after a message") {
 			return
 		}
 	}
@@ -203,18 +213,18 @@
 		if !m.reachPoint("before a reply") {
 			return
 		}
-		if waiting := m.waiting[reply.Request]; waiting != nil {
-			delete(m.waiting, reply.Request)
-			waiting(reply)
+		if done := m.pendingRequests[reply.Request]; done != nil {
+			delete(m.pendingRequests, reply.Request)
+			done(reply)
 		}
-		if !m.reachPoint("behind a reply") {
+		if !m.reachPoint("after a reply") {
 			return
 		}
 	}
 }
 
-// isPathMessage reports whether a message is on the path of a write.
-func isPathMessage(kind Kind) bool {
+// isWritePathMessage reports whether messages of a kind take part in a write.
+func isWritePathMessage(kind Kind) bool {
 	switch kind {
 	case Append, FetchBody, Ack, Commit, Forward, ForwardReply:
 		return true
@@ -222,28 +232,30 @@
 	return false
 }
 
-// stop ends the process; its clients get no answer.
+// stop ends the process. Its pending requests are answered as Unavailable, because their outcome is unknown
+// to the clients.
 func (m *simMachine) stop() {
 	if !m.up() {
 		return
 	}
 	m.node = nil
 	m.incarnation++
-	waiting := m.waiting
-	m.waiting = map[uint64]func(Reply){}
-	for _, id := range sortedKeys(waiting) {
-		waiting[id](Reply{Request: id, Outcome: Unavailable})
+	unanswered := m.pendingRequests
+	m.pendingRequests = map[uint64]func(Reply){}
+	for _, id := range sortedKeys(unanswered) {
+		unanswered[id](Reply{Request: id, Outcome: Unavailable})
 	}
 }
 
-// crash ends the process and restarts the machine later with what the loss leaves on the disk.
+// crash ends the process and restarts the disk with what the loss leaves of the unsynced writes. It doesn't
+// start the process again; see boot.
 func (m *simMachine) crash(loss faultfs.Loss) {
 	m.stop()
 	m.disk.Crash()
 	m.disk.Restart(loss, m.world.random)
 }
 
-// request asks the node for a read, or for a write if there is a proposal.
+// request sends the node a write, or a read if proposal is nil. done is called with the reply.
 func (m *simMachine) request(proposal *Proposal, done func(Reply)) {
 	m.submit(done, func(n *Node, request uint64) Effects {
 		if proposal == nil {
@@ -253,19 +265,20 @@
 	})
 }
 
-// confirm asks whether a change was committed, as callers do that can't produce its body any more.
+// confirm asks the node whether a change was committed, as callers do that no longer have its body.
 func (m *simMachine) confirm(change ChangeID, done func(Reply)) {
 	m.submit(done, func(n *Node, request uint64) Effects { return n.Confirm(m.world.now, request, change) })
 }
 
-// submit has a machine run a call under a new request number.
+// submit makes a call to the node under a new request number. done is called with the reply, at once with
+// Unavailable if the machine is down.
 func (m *simMachine) submit(done func(Reply), call func(n *Node, request uint64) Effects) {
 	if !m.up() {
 		done(Reply{Outcome: Unavailable})
 		return
 	}
-	m.world.requests++
-	request := m.world.requests
-	m.waiting[request] = done
+	m.world.lastRequest++
+	request := m.world.lastRequest
+	m.pendingRequests[request] = done
 	m.step(func(n *Node) Effects { return call(n, request) })
 }
--- a/internal/router/chain/sim_many_changes_test.go
+++ b/internal/router/chain/sim_many_changes_test.go
@@ -12,29 +12,32 @@
 )
 
 const (
-	manyChanges     = 1000
-	manyChangesBody = 4 << 10
-	// largestBody is the largest configuration, memberRate the slowest link of members in bytes per second.
-	largestBody = 4 << 20
-	memberRate  = 100_000_000 / 8
-	slowSync    = 60 * time.Millisecond
+	manyChangesCount    = 1000
+	manyChangesBodySize = 4 << 10 // bytes
+	// largestBodySize is the size of the largest configuration, in bytes. slowestMemberRate is the bandwidth
+	// of the slowest link between members, in bytes per second (100 Mbit/s).
+	largestBodySize   = 4 << 20
+	slowestMemberRate = 100_000_000 / 8
+	slowSyncDelay     = 60 * time.Millisecond
 )
 
-// manyChangesWorld is a world with a long sequence of changes.
+// manyChangesWorld is a world in which a long sequence of changes is committed.
 type manyChangesWorld struct {
 	*simWorld
-	c       *qt.C
+	c *qt.C
+	// version is the latest committed version.
 	version int64
 }
 
-// body returns the body of a version.
+// body returns the body that is written as a version.
 func (w *manyChangesWorld) body(version int64) string {
-	return fmt.Sprint("body ", version, " ", string(bytes.Repeat([]byte("x"), manyChangesBody)))
+	return fmt.Sprint("body ", version, " ", string(bytes.Repeat([]byte("x"), manyChangesBodySize)))
 }
 
-// change makes one change and retries it until it is acknowledged.
-func (w *manyChangesWorld) change(body string) {
-	for began := w.now; ; {
+// mustCommit writes a body as the next version and retries while the outcome is unknown, for up to 5 s. The
+// write has to be applied.
+func (w *manyChangesWorld) mustCommit(body string) {
+	for startedAt := w.now; ; {
 		outcome := w.writeAt("10.0.0.9", w.version, w.version+1, body)
 		for *outcome == 0 {
 			w.run(simTick)
@@ -43,86 +46,93 @@
 			break
 		}
 		w.c.Assert(*outcome, qt.Equals, Unavailable)
-		w.c.Assert(w.now-began < 5*time.Second, qt.IsTrue, qt.Commentf("version %d", w.version+1))
+		w.c.Assert(w.now-startedAt < 5*time.Second, qt.IsTrue, qt.Commentf("version %d", w.version+1))
 		w.run(100 * time.Millisecond)
 	}
 	w.version++
 	w.c.Assert(w.failure, qt.Equals, "")
 }
 
-// changes makes a number of changes.
-func (w *manyChangesWorld) changes(count int) {
+// mustCommitNext commits a number of versions with their bodies.
+func (w *manyChangesWorld) mustCommitNext(count int) {
 	for range count {
-		w.change(w.body(w.version + 1))
+		w.mustCommit(w.body(w.version + 1))
 	}
 }
 
-// catchUp starts a machine and checks how long and how many bytes it takes to have the state.
-func (w *manyChangesWorld) catchUp(machine *simMachine, name string, atMost time.Duration) {
-	began, before := w.now, w.catchUpBytes[machine.address]
+// mustCatchUp boots a machine if it is down, and checks that it catches up within a time limit, that it was
+// sent at most one body and one history for that, and that its log has a bounded size. situation says why
+// it has to catch up.
+func (w *manyChangesWorld) mustCatchUp(machine *simMachine, situation string, limit time.Duration) {
+	startedAt, bytesBefore := w.now, w.catchUpBytes[machine.address]
 	if !machine.up() {
 		machine.boot()
 	}
-	for !w.hasNewest(machine) {
+	for !w.hasLatestEntry(machine) {
 		w.run(simTick)
-		w.c.Assert(w.now-began < atMost, qt.IsTrue, qt.Commentf("%s after %d changes", name, w.version))
+		w.c.Assert(w.now-startedAt < limit, qt.IsTrue, qt.Commentf("%s after %d changes", situation, w.version))
 	}
-	sent := w.catchUpBytes[machine.address] - before
+	sent := w.catchUpBytes[machine.address] - bytesBefore
 	accepted := &machine.node.state.accepted
-	full := messageSize(&Message{Body: accepted.Body, History: accepted.history})
-	w.c.Logf("%s after %d changes: %v, %d bytes", name, w.version, w.now-began, sent)
-	w.c.Assert(sent <= full, qt.IsTrue, qt.Commentf("%s: %d bytes for %d", name, sent, full))
-	// a snapshot, what follows it, and a record that ends the segment
-	records := w.segmentGrowth + 2*int64(full)
-	w.c.Assert(machine.log.Size() <= records, qt.IsTrue,
-		qt.Commentf("%s: the log has %d bytes", name, machine.log.Size()))
+	fullSize := messageSize(&Message{Body: accepted.Body, History: accepted.history})
+	w.c.Logf("%s after %d changes: caught up after %v and %d bytes",
+		situation, w.version, w.now-startedAt, sent)
+	w.c.Assert(sent <= fullSize, qt.IsTrue,
+		qt.Commentf("%s: %d bytes sent for an entry of %d", situation, sent, fullSize))
+	// A log consists of a snapshot, records of at most segmentGrowth bytes, and one more record, after which it
+	// begins a new segment.
+	maxLogSize := w.segmentGrowth + 2*int64(fullSize)
+	w.c.Assert(machine.log.Size() <= maxLogSize, qt.IsTrue,
+		qt.Commentf("%s: the log has %d bytes", situation, machine.log.Size()))
 }
 
-// hasNewest reports whether a machine is a replica that has the newest entry.
-func (w *manyChangesWorld) hasNewest(machine *simMachine) bool {
+// hasLatestEntry reports whether a machine is a replica in the latest view and has accepted the latest
+// version.
+func (w *manyChangesWorld) hasLatestEntry(machine *simMachine) bool {
 	latest := w.machines["10.0.0.9"].node.View().Epoch
 	state := &machine.node.state
 	return machine.node.InChain() && state.view.Epoch == latest && state.accepted.Epoch == latest &&
 		state.accepted.Version == w.version
 }
 
-// TestThousandChanges makes changes while members are down, wiped, replaced and slow. A member that rejoins
-// catches up with one body and one history at most, and earlier changes are still acknowledged.
+// TestThousandChanges commits a thousand changes while members are down, wiped, replaced or slow. A member
+// that rejoins has to catch up with at most one body and one history. Retries of earlier changes have to be
+// acknowledged, and other writes of the same versions rejected.
 func TestThousandChanges(t *testing.T) {
 	world := &manyChangesWorld{simWorld: newWorld(1), c: qt.New(t)}
-	world.segmentGrowth = 16 * manyChangesBody
+	world.segmentGrowth = 16 * manyChangesBodySize
 	bootstrapWithCandidates(world.simWorld, 0)
 	first, second, third := world.machines["10.0.0.1"], world.machines["10.0.0.2"], world.machines["10.0.0.3"]
 
-	world.changes(150)
+	world.mustCommitNext(150)
 	second.crash(faultfs.LoseAll)
-	world.changes(200)
-	world.catchUp(second, "down for 200 changes", 2*time.Second)
+	world.mustCommitNext(200)
+	world.mustCatchUp(second, "down for 200 changes", 2*time.Second)
 
 	first.crash(faultfs.LoseAll) // the head
 	first.disk.Wipe()
-	first.firstStart = false
-	world.changes(100)
-	world.catchUp(first, "wiped", 2*time.Second)
+	first.allowBootstrap = false
+	world.mustCommitNext(100)
+	world.mustCatchUp(first, "wiped", 2*time.Second)
 
-	third.syncDelay = slowSync
-	world.changes(100)
-	third.syncDelay = simSync
-	world.c.Assert(world.hasNewest(third), qt.IsTrue)
+	third.syncDelay = slowSyncDelay
+	world.mustCommitNext(100)
+	third.syncDelay = simSyncDelay
+	world.c.Assert(world.hasLatestEntry(third), qt.IsTrue)
 
 	third.crash(faultfs.LoseAll)
 	third.removed = true
-	world.changes(50)
-	world.catchUp(world.addMachine("10.0.0.5", true, false), "replaces another", 4*time.Second)
+	world.mustCommitNext(50)
+	world.mustCatchUp(world.addMachine("10.0.0.5", true, false), "replaces another", 4*time.Second)
 
-	world.changes(int(manyChanges - world.version))
-	world.othersDown(nil)
+	world.mustCommitNext(int(manyChangesCount - world.version))
+	world.crashAllExcept(nil)
 	world.run(time.Second)
 	for _, machine := range []*simMachine{first, second, world.machines["10.0.0.5"]} {
-		world.catchUp(machine, "power lost by all", 2*time.Second)
+		world.mustCatchUp(machine, "power lost by all", 2*time.Second)
 	}
-	world.catchUpWithTheLargest(second)
-	for version := int64(1); version <= manyChanges; version += 111 {
+	world.mustCatchUpWithLargestBody(second)
+	for version := int64(1); version <= manyChangesCount; version += 111 {
 		again := world.writeAt("10.0.0.9", version-1, version, world.body(version))
 		other := world.writeAt("10.0.0.1", version-1, version, "another")
 		world.run(2 * time.Second)
@@ -131,19 +141,20 @@
 	world.c.Assert(world.failure, qt.Equals, "")
 }
 
-// catchUpWithTheLargest lets the links be as slow as they may be and the body as large: a write and an
-// emptied disk cost no views that are not theirs.
-func (w *manyChangesWorld) catchUpWithTheLargest(machine *simMachine) {
-	w.rate = memberRate
+// mustCatchUpWithLargestBody commits the largest body over the slowest links, then wipes a machine, which
+// has to catch up. The failure detector must not mistake the slow transmission for failures: the write
+// causes no view change, and the wiped disk at most two.
+func (w *manyChangesWorld) mustCatchUpWithLargestBody(machine *simMachine) {
+	w.linkRate = slowestMemberRate
 	epoch := func() uint64 { return w.machines["10.0.0.9"].node.View().Epoch }
-	before, began := epoch(), w.now
-	w.change(string(bytes.Repeat([]byte("y"), largestBody)))
-	w.c.Logf("the largest body is written after %v", w.now-began)
+	epochBefore, startedAt := epoch(), w.now
+	w.mustCommit(string(bytes.Repeat([]byte("y"), largestBodySize)))
+	w.c.Logf("the largest body was committed after %v", w.now-startedAt)
 	w.run(2 * time.Second)
-	w.c.Assert(epoch(), qt.Equals, before)
+	w.c.Assert(epoch(), qt.Equals, epochBefore)
 	machine.crash(faultfs.LoseAll)
 	machine.disk.Wipe()
-	w.catchUp(machine, "wiped, the largest body at 100 Mbit/s", 3*time.Second)
+	w.mustCatchUp(machine, "wiped, the largest body at 100 Mbit/s", 3*time.Second)
 	w.run(2 * time.Second)
-	w.c.Assert(epoch() <= before+2, qt.IsTrue, qt.Commentf("%d views", epoch()-before))
+	w.c.Assert(epoch() <= epochBefore+2, qt.IsTrue, qt.Commentf("%d views", epoch()-epochBefore))
 }
--- a/internal/router/chain/sim_nemesis_test.go
+++ b/internal/router/chain/sim_nemesis_test.go
@@ -9,27 +9,29 @@
 	"cresshub/internal/segmentlog/faultfs"
 )
 
-// nemesis injects faults at random times until its end.
+// nemesis injects random faults at random times.
 type nemesis struct {
 	world *simWorld
+	// until is the virtual time at which the injection of faults ends.
 	until time.Duration
-	added int
+	// machinesAdded counts the machines that were added to replace others.
+	machinesAdded int
 }
 
-// scheduleNext schedules the next fault.
+// scheduleNext schedules the next fault, after a random delay.
 func (ne *nemesis) scheduleNext() {
 	world := ne.world
 	world.after(time.Duration(world.random.Int63n(int64(900*time.Millisecond))), func() {
 		if world.now >= ne.until {
 			return
 		}
-		ne.fault()
+		ne.injectFault()
 		ne.scheduleNext()
 	})
 }
 
-// machine draws a machine that is not removed.
-func (ne *nemesis) machine() *simMachine {
+// drawMachine returns a random machine that is not removed.
+func (ne *nemesis) drawMachine() *simMachine {
 	world := ne.world
 	for {
 		if machine := world.machines[world.addresses[world.random.Intn(len(world.addresses))]]; !machine.removed {
@@ -38,27 +40,28 @@
 	}
 }
 
-// fault injects one fault.
-func (ne *nemesis) fault() {
+// injectFault injects a random fault. Most kinds of faults concern one machine, which is random, too.
+func (ne *nemesis) injectFault() {
 	faults := []struct {
-		name string
-		do   func(*simMachine)
+		name   string
+		inject func(*simMachine)
 	}{
 		{"process killed", ne.kill}, {"power lost", ne.losePower}, {"power lost by all", ne.losePowerOfAll},
-		{"crash in the disk", ne.crashInDisk}, {"disk fails once", ne.failDiskOnce}, {"disk full", ne.fillDisk},
-		{"process stall", ne.stall}, {"disk lost", ne.wipeDisk}, {"disk lost while the others lose power",
+		{"crash during a disk operation", ne.crashInDisk}, {"disk fails once", ne.failDiskOnce},
+		{"disk full", ne.fillDisk},
+		{"process stalled", ne.stall}, {"disk lost", ne.wipeDisk}, {"disk lost while the others lose power",
 			ne.wipeDiskAndLosePower},
 		{"machine replaced", ne.replace}, {"partition", ne.partition}, {"one-way partition", ne.partitionOneWay},
-		{"lossy links", ne.degradeLinks}, {"drain", ne.drain}, {"all links healed", ne.healLinks},
+		{"lossy links", ne.degradeLinks}, {"machine drains", ne.drain}, {"all links healed", ne.healLinks},
 		{"corruption at the end of the log", ne.corruptLog},
 	}
-	machine := ne.machine()
-	one := faults[ne.world.random.Intn(len(faults))]
-	ne.world.tracef("fault: %s at %s", one.name, machine.address)
-	one.do(machine)
+	machine := ne.drawMachine()
+	fault := faults[ne.world.random.Intn(len(faults))]
+	ne.world.tracef("fault: %s at %s", fault.name, machine.address)
+	fault.inject(machine)
 }
 
-// restartLater starts a machine again after a random time.
+// restartLater boots a machine after a random delay, or at once if the injection of faults has ended.
 func (ne *nemesis) restartLater(machine *simMachine) {
 	world := ne.world
 	if world.now >= ne.until {
@@ -77,11 +80,12 @@
 	})
 }
 
-// drawLoss draws what a power loss leaves on the disk.
+// drawLoss returns at random what a power loss does to writes that were not synced.
 func (ne *nemesis) drawLoss() faultfs.Loss {
 	return []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome}[ne.world.random.Intn(3)]
 }
 
+// kill ends the process. What it wrote stays on the disk.
 func (ne *nemesis) kill(machine *simMachine) {
 	machine.crash(faultfs.KeepAll)
 	ne.restartLater(machine)
@@ -100,7 +104,8 @@
 	}
 }
 
-// crashInDisk crashes the machine at one of its next operations on the disk.
+// crashInDisk crashes the machine at one of its next 8 disk operations. If that has happened within 2 s, the
+// machine is restarted after them.
 func (ne *nemesis) crashInDisk(machine *simMachine) {
 	if !machine.hasDisk || !machine.up() {
 		return
@@ -130,19 +135,20 @@
 	machine.busyUntil = ne.world.now + time.Duration(ne.world.random.Int63n(int64(3*time.Second)))
 }
 
-// mayLoseDisk reports whether one more disk can be lost: the last one that was lost has been replaced in the
-// latest view and in each one that may still be decided, and each replica of the latest view has the state.
+// mayLoseDisk reports whether the register tolerates the loss of one more disk: every member of the latest
+// view, and of each view that an acceptor has accepted, is up and has its disk, and each replica of the
+// latest view has accepted an entry in it.
 func (ne *nemesis) mayLoseDisk() bool {
-	disks := map[MemberID]durableState{}
+	states := map[MemberID]durableState{}
 	var latest View
-	var named []MemberID
+	var viewMembers []MemberID
 	for _, address := range ne.world.addresses {
 		machine := ne.world.machines[address]
 		if machine.removed || !machine.hasDisk || !machine.up() {
 			continue
 		}
-		disks[machine.node.state.id] = machine.node.stable.durableState
-		named = append(named, memberIDs(machine.node.stable.acceptor.acceptedView.Members)...)
+		states[machine.node.state.id] = machine.node.stable.durableState
+		viewMembers = append(viewMembers, memberIDs(machine.node.stable.acceptor.acceptedView.Members)...)
 		if view := machine.node.state.view; view.Epoch > latest.Epoch {
 			latest = view
 		}
@@ -150,9 +156,9 @@
 	if len(latest.Chain) < 2 {
 		return false
 	}
-	for _, id := range append(named, memberIDs(latest.Members)...) {
-		disk, ok := disks[id]
-		if !ok || latest.inChain(id) && disk.accepted.Epoch != latest.Epoch {
+	for _, id := range append(viewMembers, memberIDs(latest.Members)...) {
+		state, ok := states[id]
+		if !ok || latest.inChain(id) && state.accepted.Epoch != latest.Epoch {
 			return false
 		}
 	}
@@ -165,32 +171,32 @@
 	}
 	machine.crash(faultfs.KeepAll)
 	machine.disk.Wipe()
-	machine.firstStart = false
+	machine.allowBootstrap = false
 	ne.world.history.disksLost++
 	ne.restartLater(machine)
 }
 
-// corruptLog flips a bit of a log's last records while the machine is down, which then counts as having lost
-// its disk.
+// corruptLog crashes the machine and corrupts one of the last 200 bytes of its log. The machine then counts
+// as having lost its disk.
 func (ne *nemesis) corruptLog(machine *simMachine) {
 	if !machine.hasDisk || !ne.mayLoseDisk() {
 		return
 	}
 	machine.crash(ne.drawLoss())
-	names, err := machine.disk.List(simFolder)
+	names, err := machine.disk.List(simLogDir)
 	if err != nil || len(names) == 0 {
 		ne.restartLater(machine)
 		return
 	}
-	name := simFolder + "/" + slices.Max(names)
+	name := simLogDir + "/" + slices.Max(names)
 	data, err := machine.disk.ReadFile(name)
 	if err == nil && strings.HasSuffix(name, ".segment") && len(data) > 0 {
 		err = machine.disk.Corrupt(name, len(data)-1-ne.world.random.Intn(min(len(data), 200)))
 	}
 	if err != nil {
-		ne.world.failf("%s: %v", machine.address, err)
+		ne.world.failf("corrupting the log of %s: %v", machine.address, err)
 	}
-	machine.firstStart = false
+	machine.allowBootstrap = false
 	ne.world.history.disksLost++
 	ne.restartLater(machine)
 }
@@ -207,7 +213,7 @@
 	}
 }
 
-// replace removes a machine and starts another at a new address.
+// replace removes a machine for good and starts another one with a new disk and address.
 func (ne *nemesis) replace(machine *simMachine) {
 	if !machine.hasDisk || !ne.mayLoseDisk() {
 		return
@@ -215,8 +221,8 @@
 	machine.crash(faultfs.KeepAll)
 	machine.removed = true
 	ne.world.history.disksLost++
-	ne.added++
-	ne.world.addMachine(fmt.Sprintf("10.0.1.%d", ne.added), true, false)
+	ne.machinesAdded++
+	ne.world.addMachine(fmt.Sprintf("10.0.1.%d", ne.machinesAdded), true, false)
 	for _, address := range ne.world.addresses {
 		if other := ne.world.machines[address]; other.up() {
 			other.node.SetContacts(ne.world.contacts())
@@ -224,7 +230,7 @@
 	}
 }
 
-// partition separates the machines into two groups.
+// partition separates the machines into two random groups, for up to 4 s.
 func (ne *nemesis) partition(*simMachine) {
 	world := ne.world
 	side := map[string]bool{}
@@ -239,8 +245,9 @@
 	world.after(time.Duration(world.random.Int63n(int64(4*time.Second))), func() { ne.healLinks(nil) })
 }
 
+// partitionOneWay blocks the link from the machine to another one, for up to 4 s.
 func (ne *nemesis) partitionOneWay(machine *simMachine) {
-	other := ne.machine()
+	other := ne.drawMachine()
 	if other == machine {
 		return
 	}
@@ -249,17 +256,19 @@
 	ne.world.after(time.Duration(ne.world.random.Int63n(int64(4*time.Second))), func() { link.blocked = false })
 }
 
+// degradeLinks makes all links lose up to 30% of the messages and delay them by up to 60 ms more.
 func (ne *nemesis) degradeLinks(*simMachine) {
 	world := ne.world
 	loss, delay := world.random.Float64()*0.3, time.Duration(world.random.Int63n(int64(60*time.Millisecond)))
 	for _, from := range world.addresses {
 		for _, to := range world.addresses {
 			link := world.link(from, to)
-			link.loss, link.delay = loss, delay
+			link.lossProbability, link.maxExtraDelay = loss, delay
 		}
 	}
 }
 
+// drain drains the machine and restarts it 800 ms later.
 func (ne *nemesis) drain(machine *simMachine) {
 	if !machine.up() {
 		return
@@ -280,10 +289,10 @@
 	}
 }
 
-// healAll ends all faults and starts what is down.
+// healAll ends all faults and starts the machines that are down and not removed.
 func (ne *nemesis) healAll() {
 	ne.healLinks(nil)
-	ne.world.duplicates = 0
+	ne.world.duplicateProbability = 0
 	for _, address := range ne.world.addresses {
 		machine := ne.world.machines[address]
 		machine.disk.Capacity = 0
--- a/internal/router/chain/sim_partition_test.go
+++ b/internal/router/chain/sim_partition_test.go
@@ -7,45 +7,47 @@
 )
 
 const (
-	// partitionSeeds is how many seeds each kind of partition gets without partitionSeedsVariable in the
-	// environment.
+	// partitionSeeds is how many seeds run for each kind of partition if the environment variable
+	// partitionSeedsVariable is not set.
 	partitionSeeds         = 2
 	partitionSeedsVariable = "CHAIN_CUT_SEEDS"
-	// partitionTime is how long a machine is isolated. Calls that begin partitionStabilization after its
-	// start have to be answered by the others, those that begin so long after its end by all; none takes
-	// longer than partitionCallLimit.
-	partitionTime          = 20 * time.Second
+	// partitionDuration is how long a machine is isolated. A call that starts at least partitionStabilization
+	// after the start of the partition has to be answered by every machine that is not isolated, and one that
+	// starts so long after its end by every machine. partitionCallLimit is the longest duration of a call.
+	partitionDuration      = 20 * time.Second
 	partitionStabilization = 1500 * time.Millisecond
 	partitionCallLimit     = 2 * time.Second
-	// partitionMaxViews bounds the views that one partition costs, its end included.
+	// partitionMaxViews is the maximum number of views that are decided because of one partition and its end.
 	partitionMaxViews = 6
 )
 
-// partitionKind says which messages of a machine are lost.
+// partitionKind says which links of the isolated machine are blocked.
 type partitionKind struct {
-	name    string
-	in, out bool
-	// membersOnly leaves the links to machines that are not members intact.
+	name                        string
+	blockInbound, blockOutbound bool
+	// membersOnly means that links to and from machines that are not members aren't blocked.
 	membersOnly bool
-	// withAnother isolates another machine together with this one.
-	withAnother bool
+	// withNonMember means that the machine without a disk, 10.0.0.9, is isolated together with this one.
+	withNonMember bool
 }
 
-// partitionKinds are all ways in which a machine is isolated.
+// partitionKinds are the kinds of partitions that are tested.
 var partitionKinds = []partitionKind{
-	{name: "nothing comes in", in: true},
-	{name: "nothing goes out", out: true},
-	{name: "both ways", in: true, out: true},
-	{name: "from the members only", in: true, out: true, membersOnly: true},
-	{name: "from the members only, nothing comes in", in: true, membersOnly: true},
-	{name: "together with another machine", in: true, out: true, withAnother: true},
+	{name: "inbound messages lost", blockInbound: true},
+	{name: "outbound messages lost", blockOutbound: true},
+	{name: "all messages lost", blockInbound: true, blockOutbound: true},
+	{name: "messages from and to members lost", blockInbound: true, blockOutbound: true, membersOnly: true},
+	{name: "inbound messages from members lost", blockInbound: true, membersOnly: true},
+	{name: "isolated with a non-member", blockInbound: true, blockOutbound: true, withNonMember: true},
 }
 
-// TestPartitionOfOneReplicaFor20Seconds isolates each replica in each way, with a candidate to replace it
-// and without, while clients read and write at every machine. The others soon answer each call again; what
-// the isolated machine answers is linearizable, and it serves soon after the partition has healed.
+// TestPartitionOfOneReplicaFor20Seconds isolates each replica by each kind of partition, with and without a
+// candidate that can replace it, while clients read and write at every machine. After a stabilization time
+// the machines that are not isolated have to answer every call. The answers of all machines, the isolated
+// one included, have to be linearizable, and the isolated machine has to serve again soon after the
+// partition has healed.
 func TestPartitionOfOneReplicaFor20Seconds(t *testing.T) {
-	seeds := fromEnvironment(partitionSeedsVariable, partitionSeeds)
+	seeds := intFromEnvironment(partitionSeedsVariable, partitionSeeds)
 	for _, kind := range partitionKinds {
 		for replica := range 3 {
 			for _, candidates := range []int{0, 1} {
@@ -54,7 +56,7 @@
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
 						world := newPartitionWorld(int64(seed), candidates)
-						world.play(kind, replica)
+						world.runScenario(kind, replica)
 						world.mustBeLinearizable(t)
 					})
 				}
@@ -66,62 +68,65 @@
 // partitionWorld is a world with a client at each machine.
 type partitionWorld struct {
 	*simWorld
-	// mustAnswer are the addresses whose clients must get answers now.
+	// mustAnswer are the addresses of the machines that have to answer every call at the moment.
 	mustAnswer map[string]bool
-	// answers counts the outcomes of calls at the isolated machine.
-	isolated string
-	answers  map[Outcome]int
+	// isolated is the address of the isolated machine. isolatedOutcomes counts the outcomes of calls there.
+	isolated         string
+	isolatedOutcomes map[Outcome]int
 }
 
-// newPartitionWorld bootstraps three members, candidates and a machine without a disk, with a client at each.
+// newPartitionWorld bootstraps a chain of three members, with a number of candidates and a machine without
+// a disk, and starts a client at each machine.
 func newPartitionWorld(seed int64, candidates int) *partitionWorld {
-	world := &partitionWorld{simWorld: newWorld(seed), mustAnswer: map[string]bool{}, answers: map[Outcome]int{}}
+	world := &partitionWorld{
+		simWorld: newWorld(seed), mustAnswer: map[string]bool{}, isolatedOutcomes: map[Outcome]int{},
+	}
 	bootstrapWithCandidates(world.simWorld, candidates)
 	for id, address := range world.addresses {
 		client := &simClient{world: world.simWorld, id: id, onlyAddress: address, until: time.Hour}
-		client.onOutcome = func(outcome Outcome) { world.answer(address, outcome) }
+		client.onOutcome = func(outcome Outcome) { world.checkOutcome(address, outcome) }
 		client.scheduleNext()
 	}
 	return world
 }
 
-// answer checks an outcome that a client got.
-func (w *partitionWorld) answer(address string, outcome Outcome) {
+// checkOutcome fails if a machine that has to answer has left the outcome of a call unknown.
+func (w *partitionWorld) checkOutcome(address string, outcome Outcome) {
 	if address == w.isolated {
-		w.answers[outcome]++
+		w.isolatedOutcomes[outcome]++
 	}
 	if outcome == Unavailable && w.mustAnswer[address] {
-		w.failf("a call at %s gets no answer", address)
+		w.failf("a call at %s was not answered", address)
 	}
 }
 
-// play isolates a replica and heals the partition.
-func (w *partitionWorld) play(kind partitionKind, replica int) {
+// runScenario isolates a replica, heals the partition, and checks how many views were decided meanwhile.
+func (w *partitionWorld) runScenario(kind partitionKind, replica int) {
 	view := w.machines["10.0.0.9"].node.View()
 	member, _ := view.member(view.Chain[replica])
 	w.isolated = member.Address
-	side := map[string]bool{w.isolated: true}
-	if kind.withAnother {
-		side["10.0.0.9"] = true
+	isolatedSide := map[string]bool{w.isolated: true}
+	if kind.withNonMember {
+		isolatedSide["10.0.0.9"] = true
 	}
 	w.run(time.Second)
 	for _, address := range w.addresses {
 		_, isMember := view.memberAt(address)
-		if side[address] || kind.membersOnly && !isMember {
+		if isolatedSide[address] || kind.membersOnly && !isMember {
 			continue
 		}
-		for inside := range side {
-			w.link(address, inside).blocked = kind.in
-			w.link(inside, address).blocked = kind.out
+		for inside := range isolatedSide {
+			w.link(address, inside).blocked = kind.blockInbound
+			w.link(inside, address).blocked = kind.blockOutbound
 		}
 	}
 	w.tracef("%s is isolated: %s", w.isolated, kind.name)
 	w.run(partitionStabilization + partitionCallLimit)
 	for _, address := range w.addresses {
-		w.mustAnswer[address] = !side[address]
+		w.mustAnswer[address] = !isolatedSide[address]
 	}
-	w.run(partitionTime - partitionStabilization - partitionCallLimit)
-	w.tracef("the partition heals")
+	w.run(partitionDuration - partitionStabilization - partitionCallLimit)
+	w.tracef("the partition has healed")
 	clear(w.mustAnswer)
 	(&nemesis{world: w.simWorld}).healLinks(nil)
 	w.run(partitionStabilization + partitionCallLimit)
@@ -130,7 +135,7 @@
 	}
 	w.run(partitionStabilization)
 	if epoch := w.machines["10.0.0.9"].node.View().Epoch; epoch > view.Epoch+partitionMaxViews {
-		w.failf("%d views for one partition", epoch-view.Epoch)
+		w.failf("%d views were decided because of one partition", epoch-view.Epoch)
 	}
 }
 
--- a/internal/router/chain/sim_points_test.go
+++ b/internal/router/chain/sim_points_test.go
@@ -10,29 +10,33 @@
 	"cresshub/internal/segmentlog/faultfs"
 )
 
-// pointFault is what happens at a numbered point, to the machine that has reached it.
+// pointFault is a fault that is injected when a machine reaches a fault injection point.
 type pointFault struct {
-	name string
-	do   func(world *simWorld, machine *simMachine)
+	name   string
+	inject func(world *simWorld, machine *simMachine)
 }
 
-// pointFaults are the faults that each numbered point gets in turn.
+// pointFaults are the faults that are injected in turn, in separate runs, at each fault injection point.
 var pointFaults = []pointFault{
-	{"process killed", func(world *simWorld, machine *simMachine) { world.downAt(machine, faultfs.KeepAll) }},
-	{"power lost", func(world *simWorld, machine *simMachine) { world.downAt(machine, faultfs.LoseAll) }},
+	{"process killed", func(world *simWorld, machine *simMachine) {
+		world.crashAndRestart(machine, faultfs.KeepAll)
+	}},
+	{"power lost", func(world *simWorld, machine *simMachine) {
+		world.crashAndRestart(machine, faultfs.LoseAll)
+	}},
 	{"power lost, some writes persisted", func(world *simWorld, machine *simMachine) {
-		world.downAt(machine, faultfs.LoseSome)
+		world.crashAndRestart(machine, faultfs.LoseSome)
 	}},
-	{"power lost by all", func(world *simWorld, _ *simMachine) { world.othersDown(nil) }},
-	{"disk lost", func(world *simWorld, machine *simMachine) { world.wipeAt(machine) }},
+	{"power lost by all", func(world *simWorld, _ *simMachine) { world.crashAllExcept(nil) }},
+	{"disk lost", func(world *simWorld, machine *simMachine) { world.crashAndWipe(machine) }},
 	{"disk lost while the others lose power", func(world *simWorld, machine *simMachine) {
-		world.wipeAt(machine)
-		world.othersDown(machine)
+		world.crashAndWipe(machine)
+		world.crashAllExcept(machine)
 	}},
 }
 
-// downAt stops a machine and starts it again a while later.
-func (w *simWorld) downAt(machine *simMachine, loss faultfs.Loss) {
+// crashAndRestart crashes a machine and boots it again after 200 ms, unless it is started or stopped before.
+func (w *simWorld) crashAndRestart(machine *simMachine, loss faultfs.Loss) {
 	machine.crash(loss)
 	incarnation := machine.incarnation
 	w.after(200*time.Millisecond, func() {
@@ -42,26 +46,27 @@
 	})
 }
 
-// wipeAt stops a machine and starts it again a while later with an empty disk.
-func (w *simWorld) wipeAt(machine *simMachine) {
-	w.downAt(machine, faultfs.KeepAll)
+// crashAndWipe is crashAndRestart with the loss of the machine's disk.
+func (w *simWorld) crashAndWipe(machine *simMachine) {
+	w.crashAndRestart(machine, faultfs.KeepAll)
 	machine.disk.Wipe()
-	machine.firstStart = false
+	machine.allowBootstrap = false
 }
 
-// othersDown lets all machines but one lose power.
-func (w *simWorld) othersDown(spared *simMachine) {
+// crashAllExcept makes all machines lose power except one, or all of them if except is nil.
+func (w *simWorld) crashAllExcept(except *simMachine) {
 	for _, address := range w.addresses {
-		if machine := w.machines[address]; machine != spared {
-			w.downAt(machine, faultfs.LoseAll)
+		if machine := w.machines[address]; machine != except {
+			w.crashAndRestart(machine, faultfs.LoseAll)
 		}
 	}
 }
 
-// threeMachines bootstraps a chain of three in which version 1 is committed, and lets it stabilize.
-func threeMachines(c *qt.C, growth int64) *simWorld {
+// newThreeMachineWorld bootstraps a chain of three machines, commits version 1 and runs until the chain is
+// stable.
+func newThreeMachineWorld(c *qt.C, segmentGrowth int64) *simWorld {
 	world := newWorld(1)
-	world.segmentGrowth = growth
+	world.segmentGrowth = segmentGrowth
 	var members []Member
 	for i := range 3 {
 		members = append(members, world.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true).node.Self())
@@ -77,7 +82,7 @@
 	return world
 }
 
-// writeAt starts a write at a machine; the outcome is filled in later.
+// writeAt starts a write at a machine. The outcome that it returns is 0 until the write is answered.
 func (w *simWorld) writeAt(address string, expected, version int64, body string) *Outcome {
 	outcome := new(Outcome)
 	proposal := Proposal{expected, version, []byte(body)}
@@ -85,10 +90,11 @@
 	return outcome
 }
 
-// mustHold checks the register after a write that a fault interrupted: it has the write if that was
-// acknowledged, else the write or the value before it, the same at each machine; it takes another write; and
-// earlier writes that were committed are acknowledged when they are retried.
-func (w *simWorld) mustHold(c *qt.C, outcome Outcome, label string) {
+// mustBeConsistentAfterWrite checks the register after the write of version 2 that a fault interrupted.
+// Every machine has to read the same value: version 2 if the write was acknowledged, else version 2 or 1.
+// Another write has to be applied. Retries of committed writes have to be acknowledged, and other writes of
+// the same versions rejected.
+func (w *simWorld) mustBeConsistentAfterWrite(c *qt.C, outcome Outcome, label string) {
 	comment := qt.Commentf("%s, outcome %v", label, outcome)
 	var bodies []string
 	version := int64(0)
@@ -108,64 +114,70 @@
 	next := w.writeAt("10.0.0.2", version, version+1, "next")
 	w.run(300 * time.Millisecond)
 	c.Assert(*next, qt.Equals, Applied, comment)
-	wantTwo := Conflict
+	wantRetry := Conflict
 	if bodies[0] == "two" {
-		wantTwo = Applied
+		wantRetry = Applied
 	}
 	first := w.writeAt("10.0.0.3", 0, 1, "one")
 	two := w.writeAt("10.0.0.1", 1, 2, "two")
 	other := w.writeAt("10.0.0.2", 1, 2, "other")
 	w.run(300 * time.Millisecond)
-	c.Assert([]Outcome{*first, *two, *other}, qt.DeepEquals, []Outcome{Applied, wantTwo, Conflict}, comment)
+	c.Assert([]Outcome{*first, *two, *other}, qt.DeepEquals, []Outcome{Applied, wantRetry, Conflict}, comment)
 	c.Assert(w.failure, qt.Equals, "", comment)
 }
 
-// TestFaultAtEachPointOfAWrite injects a fault at each numbered point between proposal and acknowledgement.
+// TestFaultAtEachPointOfAWrite injects each kind of fault at each fault injection point that the machines
+// reach within 100 ms of the proposal of a write: before and after persisting records, sending a message
+// and delivering a reply.
 func TestFaultAtEachPointOfAWrite(t *testing.T) {
 	c := qt.New(t)
 	for _, origin := range []string{"10.0.0.1", "10.0.0.3"} {
 		for _, fault := range pointFaults {
-			seen := map[string]bool{}
+			reached := map[string]bool{} // machine and point where a fault was injected
 			number := 1
-			for writeWithPoint(c, origin, fault, number, seen) {
+			for writeWithFaultAtPoint(c, origin, fault, number, reached) {
 				number++
 			}
-			c.Logf("a write at %s, %s: %d points", origin, fault.name, number-1)
+			c.Logf("write at %s, %s: %d fault injection points", origin, fault.name, number-1)
 			for _, replica := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
-				c.Assert(seen[replica+" before the records"], qt.IsTrue)
-				c.Assert(seen[replica+" behind the records"], qt.IsTrue)
-				c.Assert(seen[replica+" before a message"], qt.IsTrue)
+				c.Assert(reached[replica+" before persisting"], qt.IsTrue)
+				c.Assert(reached[replica+" after persisting"], qt.IsTrue)
+				c.Assert(reached[replica+" before a message"], qt.IsTrue)
 			}
 		}
 	}
 }
 
-// writeWithPoint writes with a fault at a numbered point; false means that the write has fewer points.
-func writeWithPoint(c *qt.C, origin string, fault pointFault, number int, seen map[string]bool) bool {
-	world := threeMachines(c, simSegmentGrowth)
-	reached := 0
+// writeWithFaultAtPoint writes at a machine and injects a fault at the point with a number, counted from 1,
+// which it adds to reached. It returns false if the write has fewer points.
+func writeWithFaultAtPoint(
+	c *qt.C, origin string, fault pointFault, number int, reached map[string]bool,
+) bool {
+	world := newThreeMachineWorld(c, simSegmentGrowth)
+	points := 0
 	label := ""
-	world.point = func(machine *simMachine, name string) {
-		reached++
-		if reached == number {
-			world.point = nil
+	world.onPoint = func(machine *simMachine, name string) {
+		points++
+		if points == number {
+			world.onPoint = nil
 			label = fmt.Sprintf("%s at point %d: %s %s", fault.name, number, machine.address, name)
-			seen[machine.address+" "+name] = true
-			fault.do(world, machine)
+			reached[machine.address+" "+name] = true
+			fault.inject(world, machine)
 		}
 	}
 	outcome := world.writeAt(origin, 1, 2, "two")
 	world.run(100 * time.Millisecond)
-	if world.point != nil {
+	if world.onPoint != nil {
 		return false
 	}
 	world.run(5 * time.Second)
-	world.mustHold(c, *outcome, label)
+	world.mustBeConsistentAfterWrite(c, *outcome, label)
 	return true
 }
 
-// TestFaultAtEachDiskOperationOfAWrite injects a fault at each numbered operation of each replica's disk,
-// with a log that appends the write to its segment and with one that begins a new segment for it.
+// TestFaultAtEachDiskOperationOfAWrite injects a fault at each disk operation of each replica during a
+// write. In one series the log appends the write to its segment, in the other it begins a new segment for
+// it.
 func TestFaultAtEachDiskOperationOfAWrite(t *testing.T) {
 	c := qt.New(t)
 	for _, replica := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
@@ -185,23 +197,25 @@
 	}
 }
 
-// writeWithDiskFault writes with a fault at an operation of a disk; false means that it has fewer.
+// writeWithDiskFault writes with a fault at the disk operation of a replica that has a number, counted from
+// 1. It returns false if the replica's disk has fewer operations during the write.
 func writeWithDiskFault(
-	c *qt.C, growth int64, replica string, fault faultfs.Fault, loss faultfs.Loss, number int,
+	c *qt.C, segmentGrowth int64, replica string, fault faultfs.Fault, loss faultfs.Loss, number int,
 ) bool {
-	world := threeMachines(c, growth)
+	world := newThreeMachineWorld(c, segmentGrowth)
 	machine := world.machines[replica]
-	before := machine.disk.Operations
+	operationsBefore := machine.disk.Operations
 	machine.disk.FaultAt(number, fault)
 	outcome := world.writeAt("10.0.0.1", 1, 2, "two")
 	world.run(100 * time.Millisecond)
-	if machine.disk.Operations < before+number {
+	if machine.disk.Operations < operationsBefore+number {
 		return false
 	}
 	if machine.disk.Down() {
-		world.downAt(machine, loss)
+		world.crashAndRestart(machine, loss)
 	}
 	world.run(5 * time.Second)
-	world.mustHold(c, *outcome, fmt.Sprintf("%s, fault %d, loss %d, operation %d", replica, fault, loss, number))
+	world.mustBeConsistentAfterWrite(c, *outcome,
+		fmt.Sprintf("%s, fault %d, loss %d, operation %d", replica, fault, loss, number))
 	return true
 }
--- a/internal/router/chain/sim_retry_test.go
+++ b/internal/router/chain/sim_retry_test.go
@@ -2,26 +2,27 @@
 
 import "github.com/anishathalye/porcupine"
 
-// retry sends one of the client's earlier writes unchanged, or confirms it by its digest, at a machine it
-// draws.
+// retry repeats one of the client's earlier writes, or asks by its digest whether it was committed, at a
+// random machine.
 func (c *simClient) retry() {
 	world := c.world
 	input := c.retryable[world.random.Intn(len(c.retryable))]
-	judge := func(reply Reply) {
+	onReply := func(reply Reply) {
 		world.checkRetry(input, reply)
 		c.scheduleNext()
 	}
 	if world.random.Intn(2) == 0 {
-		name := ChangeID{input.expected, input.version, digestOfBody([]byte(input.body))}
-		c.machine().confirm(name, judge)
+		change := ChangeID{input.expected, input.version, digestOfBody([]byte(input.body))}
+		c.drawMachine().confirm(change, onReply)
 		return
 	}
 	proposal := Proposal{input.expected, input.version, []byte(input.body)}
-	c.machine().request(&proposal, judge)
+	c.drawMachine().request(&proposal, onReply)
 }
 
-// checkRetry checks the reply to a write that was retried: it is acknowledged if it was ever committed, and
-// rejected only if it never was and never will be.
+// checkRetry checks the reply to a retry. A write may be acknowledged only if it was committed, and
+// rejected only if it was not. Once the register has passed the expected version a rejection is final: the
+// write must not be committed later.
 func (w *simWorld) checkRetry(input simInput, reply Reply) {
 	_, wasCommitted := w.history.committed[input.body]
 	switch reply.Outcome {
@@ -34,7 +35,7 @@
 	}
 }
 
-// recordRetryApplied records that a retried write was acknowledged: it took place before now.
+// recordRetryApplied records that a retry was acknowledged, so that the write was committed before now.
 func (w *simWorld) recordRetryApplied(input simInput, reply Reply) {
 	h := &w.history
 	if _, ok := h.committed[input.body]; !ok || h.rejected[input.body] {
@@ -44,9 +45,9 @@
 		h.replacedRetries++
 	}
 	for i := range h.operations {
-		one := &h.operations[i]
-		if one.Input.(simInput) == input && one.Output.(simOutput).outcome == Unavailable {
-			*one = porcupine.Operation{ClientId: one.ClientId, Input: input, Call: one.Call,
+		operation := &h.operations[i]
+		if operation.Input.(simInput) == input && operation.Output.(simOutput).outcome == Unavailable {
+			*operation = porcupine.Operation{ClientId: operation.ClientId, Input: input, Call: operation.Call,
 				Output: simOutput{outcome: Applied}, Return: int64(w.now)}
 		}
 	}
--- a/internal/router/chain/sim_test.go
+++ b/internal/router/chain/sim_test.go
@@ -13,32 +13,35 @@
 )
 
 const (
-	// simSeeds is how many seeds run without simSeedsVariable in the environment.
+	// simSeeds is how many seeds run if the environment variable simSeedsVariable is not set.
 	simSeeds         = 600
 	simSeedsVariable = "CHAIN_SIM_SEEDS"
-	simFirstVariable = "CHAIN_SIM_FIRST"
-	// simShortHistory is the length of the history in some seeds, so that writes are forgotten.
-	simShortHistory = 4
-	// simTraceLines is how many lines of a failing seed's trace are printed.
+	// simFirstSeedVariable is the environment variable with the first seed; 1 if it is not set.
+	simFirstSeedVariable = "CHAIN_SIM_FIRST"
+	// simShortHistoryLength is Config.HistoryLength for some seeds. It is so short that nodes forget committed
+	// changes while clients still retry them.
+	simShortHistoryLength = 4
+	// simTraceLines is how many lines at the end of a failing seed's trace are printed.
 	simTraceLines = 60
-	// simFaults is how long faults are injected, simRecovery how long the register may take to serve after that.
-	simFaults   = 12 * time.Second
-	simRecovery = 4 * time.Second
+	// simFaultDuration is how long faults are injected. simRecoveryDuration is how long the register may take
+	// after that to serve on every machine.
+	simFaultDuration    = 12 * time.Second
+	simRecoveryDuration = 4 * time.Second
 )
 
-// fromEnvironment reads a number from an environment variable.
-func fromEnvironment(name string, normal int) int {
+// intFromEnvironment returns the integer in an environment variable, or fallback if it holds none.
+func intFromEnvironment(name string, fallback int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
 	}
-	return normal
+	return fallback
 }
 
-// forEachSeed runs a simulation with each seed of a range as a parallel sub-test, and returns when all have
-// ended.
+// forEachSeed runs a simulation as a parallel subtest for each of a number of consecutive seeds, and returns
+// when all have ended.
 func forEachSeed(t *testing.T, seeds int, run func(t *testing.T, seed int)) {
 	t.Helper()
-	first := fromEnvironment(simFirstVariable, 1)
+	first := intFromEnvironment(simFirstSeedVariable, 1)
 	t.Run("seeds", func(t *testing.T) {
 		for seed := first; seed < first+seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -49,7 +52,7 @@
 	})
 }
 
-// mustBeLinearizable fails a test whose world has a broken invariant or whose history is not linearizable.
+// mustBeLinearizable fails the test if an invariant was violated or the history is not linearizable.
 func (w *simWorld) mustBeLinearizable(t *testing.T) {
 	t.Helper()
 	result := w.linearizable()
@@ -63,64 +66,65 @@
 	return strings.Join(w.trace[max(0, len(w.trace)-simTraceLines):], "\n")
 }
 
-// TestSimulation injects random faults. The clients' histories have to be linearizable, and each machine has
-// to serve after the faults.
+// TestSimulation injects random faults while clients read and write. The history of the clients' operations
+// has to be linearizable, and each machine has to serve reads and writes after the faults have ended.
 func TestSimulation(t *testing.T) {
-	seeds := fromEnvironment(simSeedsVariable, simSeeds)
-	var total [Unavailable + 1]atomic.Int64
-	var disks, damages, replaced atomic.Int64
+	seeds := intFromEnvironment(simSeedsVariable, simSeeds)
+	var outcomes [Unavailable + 1]atomic.Int64
+	var disksLost, damagedLogs, replacedRetries atomic.Int64
 	forEachSeed(t, seeds, func(t *testing.T, seed int) {
 		t.Helper()
 		world := simulate(t, int64(seed))
-		disks.Add(int64(world.history.disksLost))
-		damages.Add(int64(world.history.damagedLogs))
-		replaced.Add(int64(world.history.replacedRetries))
+		disksLost.Add(int64(world.history.disksLost))
+		damagedLogs.Add(int64(world.history.damagedLogs))
+		replacedRetries.Add(int64(world.history.replacedRetries))
 		for outcome, count := range world.history.outcomes {
-			total[outcome].Add(int64(count))
+			outcomes[outcome].Add(int64(count))
 		}
 	})
-	t.Logf("%d seeds: %d applied, %d conflicts, %d unavailable; %d disks lost, %d by corruption; "+
-		"%d replaced ones retried",
-		seeds, total[Applied].Load(), total[Conflict].Load(), total[Unavailable].Load(), disks.Load(),
-		damages.Load(), replaced.Load())
-	if seeds >= simSeeds && damages.Load() == 0 {
-		t.Error("no log was damaged; corrupt them more often")
+	t.Logf("%d seeds: %d applied, %d conflicts, %d unavailable; %d disks lost; %d logs found damaged; "+
+		"%d retries of replaced writes acknowledged",
+		seeds, outcomes[Applied].Load(), outcomes[Conflict].Load(), outcomes[Unavailable].Load(),
+		disksLost.Load(), damagedLogs.Load(), replacedRetries.Load())
+	if seeds >= simSeeds && damagedLogs.Load() == 0 {
+		t.Error("no node found its log damaged; corrupt logs more often")
 	}
-	if seeds >= simSeeds && replaced.Load() == 0 {
-		t.Error("no replaced write was retried; let clients do that more often")
+	if seeds >= simSeeds && replacedRetries.Load() == 0 {
+		t.Error("no retry of a replaced write was acknowledged; let clients retry writes more often")
 	}
 }
 
-// simulate runs one seed.
+// simulate runs the simulation with one seed and fails the test if a check fails. It returns the world for
+// its counters.
 func simulate(t *testing.T, seed int64) *simWorld {
 	t.Helper()
 	world := newWorld(seed)
 	if seed%3 == 0 {
-		world.members, world.requiredReplicas = 5, 3
+		world.targetMembers, world.requiredReplicas = 5, 3
 	}
 	if seed%4 == 0 {
-		world.historyLength = simShortHistory
+		world.historyLength = simShortHistoryLength
 	}
 	bootstrapMembers(world)
-	faults := &nemesis{world: world, until: world.now + simFaults}
-	world.duplicates = 0.05 * float64(world.random.Intn(2))
+	faults := &nemesis{world: world, until: world.now + simFaultDuration}
+	world.duplicateProbability = 0.05 * float64(world.random.Intn(2))
 	for client := range 4 {
-		(&simClient{world: world, id: client, until: faults.until + simRecovery}).scheduleNext()
+		(&simClient{world: world, id: client, until: faults.until + simRecoveryDuration}).scheduleNext()
 	}
 	faults.scheduleNext()
-	world.run(simFaults)
-	world.tracef("all faults end")
+	world.run(simFaultDuration)
+	world.tracef("all faults have ended")
 	faults.healAll()
-	world.run(simRecovery)
-	faults.world.tracef("clients end")
+	world.run(simRecoveryDuration)
+	faults.world.tracef("the clients have stopped")
 	mustServe(world)
-	world.describe()
+	world.traceMachineStates()
 	world.mustBeLinearizable(t)
 	return world
 }
 
-// describe adds the state of each machine to the trace.
-func (w *simWorld) describe() {
+// traceMachineStates adds the state of each machine to the trace.
+func (w *simWorld) traceMachineStates() {
 	for _, address := range w.addresses {
 		machine := w.machines[address]
 		if !machine.up() {
@@ -135,16 +139,16 @@
 	}
 }
 
-// bootstrapMembers starts the machines that become members, one more with a disk, and one without that
-// bootstraps.
+// bootstrapMembers starts the machines that become members, one candidate that has a disk and can replace a
+// member, and one machine without a disk, which bootstraps the chain.
 func bootstrapMembers(world *simWorld) { bootstrapWithCandidates(world, 1) }
 
-// bootstrapWithCandidates does so with another number of machines that don't become members.
+// bootstrapWithCandidates is bootstrapMembers with a given number of candidates.
 func bootstrapWithCandidates(world *simWorld, candidates int) {
 	var members []Member
-	for i := range world.members + candidates {
+	for i := range world.targetMembers + candidates {
 		machine := world.addMachine(fmt.Sprintf("10.0.0.%d", i+1), true, true)
-		if i < world.members {
+		if i < world.targetMembers {
 			members = append(members, machine.node.Self())
 		}
 	}
@@ -155,39 +159,40 @@
 	bootstrapper.step(func(n *Node) Effects { return n.Bootstrap(world.now, members) })
 	world.run(time.Second)
 	if bootstrapper.node.View().Epoch == 0 {
-		world.failf("not bootstrapped")
+		world.failf("the bootstrapping machine knows no view after 1 s")
 	}
 }
 
-// mustServe checks that each machine serves a read and a write.
+// mustServe checks that each machine that was not removed answers a read and a write within 300 ms each.
 func mustServe(world *simWorld) {
-	last := &simClient{world: world, id: 4}
+	client := &simClient{world: world, id: 4}
 	for _, address := range world.addresses {
 		machine := world.machines[address]
 		if machine.removed || world.failure != "" {
 			continue
 		}
-		last.last = 0
-		last.readAt(machine)
+		client.lastOutcome = 0
+		client.readAt(machine)
 		world.run(300 * time.Millisecond)
-		readOutcome := last.last
-		last.writes++
+		readOutcome := client.lastOutcome
+		client.writes++
 		input := simInput{
-			write: true, expected: last.version, version: last.version + 1, body: "last write at " + address,
+			write: true, expected: client.version, version: client.version + 1, body: "last write at " + address,
 		}
-		last.last = 0
-		world.recordCall(last.id, input)
-		last.attemptAt(machine, input, world.now, 1, false)
+		client.lastOutcome = 0
+		world.recordCall(client.id, input)
+		client.attemptAt(machine, input, world.now, 1, false)
 		world.run(300 * time.Millisecond)
-		// A write that another client had started before may come between.
-		if readOutcome != Applied || last.last != Applied && last.last != Conflict {
-			world.failf("%s: read is %v and write is %v after all faults have ended", address, readOutcome, last.last)
+		// Conflict is accepted: a write that another client had started may be committed between the two.
+		if readOutcome != Applied || client.lastOutcome != Applied && client.lastOutcome != Conflict {
+			world.failf("%s: the outcome of the read is %v and that of the write %v after all faults have ended",
+				address, readOutcome, client.lastOutcome)
 		}
 	}
 }
 
-// TestSeedsThatBrokeOnce runs seeds that failed at earlier states of the package.
-func TestSeedsThatBrokeOnce(t *testing.T) {
+// TestSeedsThatFailedBefore runs the simulation with seeds that failed with earlier versions of the package.
+func TestSeedsThatFailedBefore(t *testing.T) {
 	for _, seed := range []int64{225, 1378, 1502, 8599, 21082, 22937, 24419, 28549} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
