--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -109,7 +109,7 @@
 
 func TestGoldenRelayedDatagramIsReadAndWrittenByteForByte(t *testing.T) {
 	to := netip.MustParseAddrPort("10.1.2.3:4567")
-	at, b, err := ParseRelayDatagram(goldenfile.CheckBytes(t, "relayed.bin", RelayDatagram(to, []byte("news"))))
+	at, b, err := ParseRelayDatagram(goldenfile.CheckBytes(t, "relayed.bin", EncodeRelayDatagram(to, []byte("news"))))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/gossip/relay.go
+++ b/internal/cluster/gossip/relay.go
@@ -21,8 +21,8 @@
 // relayPrefix is RSV, FRAG (no fragment) and ATYP (IPv4).
 var relayPrefix = []byte{0, 0, 0, 1}
 
-// RelayDatagram returns a datagram to an IPv4 address as a relay reads it.
-func RelayDatagram(to netip.AddrPort, payload []byte) []byte {
+// EncodeRelayDatagram returns a datagram to an IPv4 address as a relay reads it.
+func EncodeRelayDatagram(to netip.AddrPort, payload []byte) []byte {
 	datagram := make([]byte, 0, relayHeaderSize+len(payload))
 	datagram = append(datagram, relayPrefix...)
 	ip := to.Addr().Unmap().As4()
@@ -31,7 +31,7 @@
 	return append(datagram, payload...)
 }
 
-// ParseRelayDatagram reads what RelayDatagram wrote. The payload aliases datagram.
+// ParseRelayDatagram decodes a datagram that EncodeRelayDatagram returned. The payload aliases datagram.
 func ParseRelayDatagram(datagram []byte) (to netip.AddrPort, payload []byte, err error) {
 	if len(datagram) < relayHeaderSize || !bytes.HasPrefix(datagram, relayPrefix) {
 		return netip.AddrPort{}, nil, errors.New("no datagram to an IPv4 address by RFC 1928")
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -289,7 +289,7 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	return t.NetTransport.WriteTo(RelayDatagram(to, packet), t.relay.String())
+	return t.NetTransport.WriteTo(EncodeRelayDatagram(to, packet), t.relay.String())
 }
 
 // WriteToAddress is part of memberlist.NodeAwareTransport.
--- a/internal/cluster/gossip/wire_test.go
+++ b/internal/cluster/gossip/wire_test.go
@@ -121,7 +121,7 @@
 
 func TestRelayDatagramKeepsAddressAndPayload(t *testing.T) {
 	to := netip.MustParseAddrPort("127.0.0.1:7946")
-	got, payload, err := ParseRelayDatagram(RelayDatagram(to, []byte("hello")))
+	got, payload, err := ParseRelayDatagram(EncodeRelayDatagram(to, []byte("hello")))
 	if err != nil || got != to || string(payload) != "hello" {
 		t.Errorf("%v %q %v", got, payload, err)
 	}
--- a/internal/testbed/faultnet/faultnet_test.go
+++ b/internal/testbed/faultnet/faultnet_test.go
@@ -78,7 +78,7 @@
 	defer conn.Close()
 	to, err := netip.ParseAddrPort(n.packets.LocalAddr().String())
 	n.Assert(err, qt.IsNil)
-	_, err = conn.Write(gossip.RelayDatagram(to, []byte(text)))
+	_, err = conn.Write(gossip.EncodeRelayDatagram(to, []byte(text)))
 	n.Assert(err, qt.IsNil)
 }
 
