--- a/internal/cluster/gossip/delegates.go
+++ b/internal/cluster/gossip/delegates.go
@@ -43,7 +43,7 @@
 	f.observeNode(f.now(), node, status)
 }
 
-// NotifyConflict is called when another process claims this member's name, or two others claim one.
+// NotifyConflict is called when two processes claim one name, which may be this member's.
 func (e *eventDelegate) NotifyConflict(existing, other *memberlist.Node) {
 	f := (*Fleet)(e)
 	f.mu.Lock()
@@ -56,10 +56,11 @@
 		"held", existing.Address(), "refused", other.Address())
 }
 
-// delegate gives memberlist this member's metadata and receives the messages of members.
+// delegate provides this member's metadata to memberlist, and receives user messages and alive messages of
+// other members and the states that they send in a join.
 type delegate Fleet
 
-// NodeMeta is this member's metadata, nil if it is over the limit.
+// NodeMeta returns this member's encoded metadata, or nil if it is longer than limit, in bytes.
 func (d *delegate) NodeMeta(limit int) []byte {
 	meta := encodeMeta(*(*Fleet)(d).meta.Load())
 	if len(meta) > limit {
@@ -68,14 +69,14 @@
 	return meta
 }
 
-// leaveMessage announces that its sender leaves. It is the only message of this program's own, sent as JSON
-// in a datagram.
+// leaveMessage announces that its sender leaves. It is the only user message that this program sends through
+// memberlist: JSON in a datagram.
 type leaveMessage struct {
 	Name        string `json:"leaving"`
 	Incarnation uint64 `json:"inc"`
 }
 
-// NotifyMsg takes a leaveMessage. Anything else is counted and dropped.
+// NotifyMsg handles a leaveMessage. Any other user message is counted and dropped.
 func (d *delegate) NotifyMsg(raw []byte) {
 	f := (*Fleet)(d)
 	var leave leaveMessage
@@ -89,16 +90,16 @@
 	if len(f.announcedLeaves) < f.opts.Membership.MaxMembers {
 		f.announcedLeaves[leave.Name] = leave.Incarnation
 	}
-	// The leave takes effect at once. A view that the gossip of it does not reach would else have the member
-	// alive until its probes fail, and then dead.
+	// Applies the leave to the view at once. Otherwise, a view that gossip of the leave does not reach would
+	// show the member as alive until probes of it fail, and then as dead.
 	if known, ok := f.view.Get(leave.Name); ok && known.Meta.Incarnation == leave.Incarnation {
 		f.publish(f.view.Observe(f.now(), membership.Observation{Name: leave.Name, Address: known.Address,
 			Status: membership.Left, Meta: known.Meta}))
 	}
 }
 
-// NotifyMerge is called with all members that another one knows, before a join merges them. They may include
-// this member's previous incarnation.
+// NotifyMerge is called with all members that another one knows, before a join merges their states. They may
+// include this member's previous incarnation.
 func (d *delegate) NotifyMerge(peers []*memberlist.Node) error {
 	for _, peer := range peers {
 		(*Fleet)(d).recordPrevious(peer)
@@ -106,18 +107,18 @@
 	return nil
 }
 
-// NotifyAlive is called with each message that a member is alive, before memberlist handles it. Gossip of
-// this member's previous incarnation may arrive before its first join: memberlist refutes it, and a join
-// would not show it any more.
+// NotifyAlive is called with each alive message before memberlist handles it. Gossip of this member's
+// previous incarnation may arrive before its first join; memberlist then refutes it, so that the join no
+// longer shows it to NotifyMerge.
 func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
 	(*Fleet)(d).recordPrevious(peer)
 	return nil
 }
 
-// recordPrevious records the previous incarnation of this member, if that is what another one has. While this
-// member starts, any record of its name is treated as that; if a live process has the name, the start fails.
-// Later, only a record with this member's own address is: two live processes of one name must not go on
-// superseding each other.
+// recordPrevious records the incarnation of peer if peer is a previous incarnation of this member. While
+// Start runs, any peer with this member's name counts as one; if it is a live process, Start fails. Later,
+// only a peer at this member's own address counts as one, because two live processes with one name must not
+// keep superseding each other.
 func (f *Fleet) recordPrevious(peer *memberlist.Node) {
 	var meta membership.Meta
 	if peer.Name != f.opts.Name || decodeMeta(peer.Meta, &meta) != nil {
--- a/internal/cluster/gossip/meta.go
+++ b/internal/cluster/gossip/meta.go
@@ -9,22 +9,22 @@
 
 // metaJSON is a member's metadata as memberlist carries it: JSON of at most memberlist.MetaMaxSize bytes.
 type metaJSON struct {
-	Incarnation uint64 `json:"inc"`
-	Version     string `json:"ver,omitempty"`
-	Hall        string `json:"hall,omitempty"`
-	Phase       string `json:"phase"`
-	Ledger      string `json:"ledger,omitempty"`
-	Disk        uint64 `json:"disk,omitempty,string"`
+	Incarnation   uint64 `json:"inc"`
+	Version       string `json:"ver,omitempty"`
+	Hall          string `json:"hall,omitempty"`
+	Phase         string `json:"phase"`
+	LedgerAddress string `json:"ledger,omitempty"`
+	ReplicaID     uint64 `json:"disk,omitempty,string"`
 }
 
 func encodeMeta(meta membership.Meta) []byte {
 	raw, err := json.Marshal(metaJSON{
-		Incarnation: meta.Incarnation,
-		Version:     meta.Version,
-		Hall:        meta.Hall,
-		Phase:       meta.Phase.String(),
-		Ledger:      meta.LedgerAddress,
-		Disk:        meta.ReplicaID,
+		Incarnation:   meta.Incarnation,
+		Version:       meta.Version,
+		Hall:          meta.Hall,
+		Phase:         meta.Phase.String(),
+		LedgerAddress: meta.LedgerAddress,
+		ReplicaID:     meta.ReplicaID,
 	})
 	if err != nil {
 		panic(err) // strings and numbers always encode
@@ -32,7 +32,7 @@
 	return raw
 }
 
-// decodeMeta decodes what encodeMeta has encoded into meta, which stays as it is after an error.
+// decodeMeta decodes the output of encodeMeta and stores it in meta, which it leaves unchanged on an error.
 func decodeMeta(raw []byte, meta *membership.Meta) error {
 	if len(raw) == 0 {
 		return errors.New("no metadata")
@@ -50,8 +50,8 @@
 		Version:       decoded.Version,
 		Hall:          decoded.Hall,
 		Phase:         phase,
-		LedgerAddress: decoded.Ledger,
-		ReplicaID:     decoded.Disk,
+		LedgerAddress: decoded.LedgerAddress,
+		ReplicaID:     decoded.ReplicaID,
 	}
 	return nil
 }
--- a/internal/cluster/gossip/observe.go
+++ b/internal/cluster/gossip/observe.go
@@ -17,7 +17,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, known := f.view.Get(msg.Node); !known && (kind == suspectMsg || kind == aliveMsg) {
-		return // the view's bound holds for the maps beside it, too
+		return // the maps by member name stay within the view's bound on members
 	}
 	switch kind {
 	case pingMsg:
@@ -31,19 +31,19 @@
 	}
 }
 
-// observeSuspect takes a suspicion that this member raised or passes on; f.mu is held.
+// observeSuspect handles a suspect message that this member originates or forwards; f.mu is held.
 func (f *Fleet) observeSuspect(msg gossipMessage) {
 	last, ok := f.suspectedIncarnations[msg.Node]
-	raised := msg.From == f.opts.Name && (!ok || last < msg.Incarnation)
-	if raised {
+	raisedHere := msg.From == f.opts.Name && (!ok || last < msg.Incarnation)
+	if raisedHere {
 		f.suspectedIncarnations[msg.Node] = msg.Incarnation
 		f.counters.Suspicions++
 	}
-	// A message is sent several times: one of an incarnation that was refuted since is no suspicion any more.
+	// A message is sent several times. Once its incarnation has been refuted, it is no longer a suspicion.
 	if msg.Incarnation >= f.swimIncarnations[msg.Node] {
 		f.changeStatus(msg.Node, membership.Alive, membership.Suspect, &f.counters.Suspected)
 	}
-	if raised {
+	if raisedHere {
 		f.queueSuspectSync(msg.Node)
 	}
 }
@@ -66,7 +66,8 @@
 	f.changeStatus(msg.Node, membership.Suspect, membership.Alive, &f.counters.Refuted)
 }
 
-// changeStatus changes a member that has one status in the view to another, and counts that; f.mu is held.
+// changeStatus changes a member's status in the view and increments counter; it does nothing if the status is
+// not from. f.mu is held.
 func (f *Fleet) changeStatus(name string, from, to membership.Status, counter *int) {
 	member, known := f.view.Get(name)
 	if !known || member.Status != from {
@@ -77,7 +78,7 @@
 		Meta: member.Meta}))
 }
 
-// observeNode hands an event of memberlist's to the view; f.mu is held.
+// observeNode applies an event of memberlist to the view; f.mu is held.
 func (f *Fleet) observeNode(now time.Duration, node *memberlist.Node, status membership.Status) {
 	var meta membership.Meta
 	if err := decodeMeta(node.Meta, &meta); err != nil {
@@ -86,7 +87,7 @@
 		return
 	}
 	if status != membership.Alive {
-		f.forgetIncarnations(node.Name) // memberlist may forget it, and count anew when it is back
+		f.forgetIncarnations(node.Name) // memberlist may forget it and count anew once it is back
 	}
 	f.publish(f.view.Observe(now, membership.Observation{
 		Name: node.Name, Address: node.Address(), Status: status, Meta: meta,
@@ -99,7 +100,7 @@
 	delete(f.suspectedIncarnations, name)
 }
 
-// publish counts, logs and streams changes of the view; f.mu is held.
+// publish counts and logs changes of the view and sends them to the reader of Changes; f.mu is held.
 func (f *Fleet) publish(changes []membership.Change) {
 	for _, change := range changes {
 		f.count(change)
@@ -123,7 +124,7 @@
 		"phase", member.Meta.Phase.String(), "incarnation", member.Meta.Incarnation, "gone", member.Gone)
 }
 
-// count counts a change; f.mu is held.
+// count increments the counter of a change's kind; f.mu is held.
 func (f *Fleet) count(change membership.Change) {
 	switch change.Kind {
 	case membership.Joined:
@@ -146,7 +147,7 @@
 	}
 }
 
-// logWriter logs memberlist's own lines at debug: what operators need is logged by this package.
+// logWriter logs memberlist's log lines at debug level: this package logs what operators need.
 type logWriter struct{ log *slog.Logger }
 
 func (w *logWriter) Write(line []byte) (int, error) {
--- a/internal/cluster/gossip/sync.go
+++ b/internal/cluster/gossip/sync.go
@@ -9,11 +9,11 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// nameProbes is how many probes find out whether another process has this member's name.
+// nameProbes is how many probes at most find out whether another process has this member's name.
 const nameProbes = 3
 
 // checkNameIsFree returns an error if a live process other than this one has this member's name, as far as
-// the last join tells.
+// the last join shows.
 func (f *Fleet) checkNameIsFree() error {
 	conflict := f.nameConflict()
 	if conflict == "" || !f.nameAnswersAt(conflict) {
@@ -23,15 +23,16 @@
 		conflict)
 }
 
-// nameConflict is the address at which another process had this member's name in the last join; "" for none.
+// nameConflict returns the address at which another process had this member's name since the last join began;
+// "" for none.
 func (f *Fleet) nameConflict() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.conflictAddress
 }
 
-// nameAnswersAt reports whether a process at an address answers probes of this member's name. Where nothing
-// does, the others only have not noticed yet that a previous incarnation ended.
+// nameAnswersAt reports whether a process at an address answers probes of this member's name. If none does,
+// the other members have merely not noticed yet that a previous incarnation has ended.
 func (f *Fleet) nameAnswersAt(address string) bool {
 	to, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -47,8 +48,9 @@
 	return false
 }
 
-// join exchanges states with the members at the given addresses, and returns with how many it did. A conflict
-// of names is in nameConflict then.
+// join exchanges states with the members at the given addresses, and returns with how many it succeeded.
+// After it, nameConflict returns the address of another process with this member's name if the states showed
+// one.
 func (f *Fleet) join(addresses []string) int {
 	f.mu.Lock()
 	f.conflictAddress = ""
@@ -61,7 +63,7 @@
 }
 
 // supersedePrevious raises this member's incarnation above that of its previous start, if other members still
-// have that one and the wall clock has gone back since: they would ignore updates of a lower incarnation.
+// know that one and the wall clock has gone back since: they would ignore updates of a lower incarnation.
 func (f *Fleet) supersedePrevious() {
 	f.mu.Lock()
 	meta := *f.meta.Load()
@@ -105,11 +107,13 @@
 	}
 }
 
-// jitter returns d plus or minus up to a quarter, so that members started at once don't call at once.
+// jitter returns d plus or minus up to a quarter, so that members started at the same time do not exchange
+// states at the same time.
 func jitter(d time.Duration) time.Duration { return d*3/4 + rand.N(d/2+1) }
 
-// syncInterval is the time between exchanges of full states. Each exchange holds all members, so that a fixed
-// interval would cost each member more as the fleet grows; they only make up for what gossip missed.
+// syncInterval returns the time between exchanges of full states. Each exchange carries all members, so that
+// at a fixed interval the cost to each member would grow with the fleet; the exchanges only make up for
+// updates that gossip has missed.
 func (f *Fleet) syncInterval() time.Duration {
 	return f.opts.SyncIntervalPerMember * time.Duration(f.memberlist.NumMembers())
 }
@@ -133,10 +137,11 @@
 
 // rejoin joins one recently dead member, as serf's reconnect does: after a partition that outlasts
 // suspicions, each side considers the other dead and memberlist alone would never probe it again. It also
-// joins one seed that is not a live member: the fleet may never have been joined, or its dead members
-// forgotten. The dead member is drawn first, then the seed.
+// joins one seed that is not a live member: this member may never have joined the fleet, or may have
+// forgotten the dead members. After a conflict over its name it joins any of the seeds. The dead member is
+// drawn first, then the seed.
 func (f *Fleet) rejoin() {
-	// Address takes memberlist's lock, under which memberlist's events take f.mu: not under f.mu.
+	// Address takes memberlist's lock, under which memberlist's events take f.mu, so f.mu must not be held.
 	live := map[string]bool{f.Address(): true}
 	f.mu.Lock()
 	for _, m := range f.view.Snapshot() {
@@ -161,6 +166,6 @@
 		f.mu.Lock()
 		f.counters.Rejoins++
 		f.mu.Unlock()
-		f.supersedePrevious() // where no seed answered at the start
+		f.supersedePrevious() // in case no seed answered during Start
 	}
 }
