--- a/internal/cluster/gossip/fleet.go
+++ b/internal/cluster/gossip/fleet.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	changesBuffer      = 256 // changes of the view that wait for a reader of Changes
-	suspectQueueLength = 64  // suspects that wait for an exchange of states
-	// retransmitMult times ceil(log10(members + 1)) is how often each member sends an update. With memberlist's
-	// 4, one in fifty members of a small fleet misses a refutation; with 8, one in three thousand.
+	changesBufferSize  = 256 // capacity of the channel of Changes
+	suspectQueueLength = 64  // suspects that wait for a state exchange
+	// retransmitMult times ceil(log10(members + 1)) is how many times each member transmits an update by
+	// gossip. In a small fleet, one member in fifty misses a refutation with memberlist's default of 4, and one
+	// in three thousand with 8.
 	retransmitMult = 8
-	// minStreamTimeout and streamTimeouts, in probe timeouts, bound how long a stream may take.
-	minStreamTimeout = time.Second
-	streamTimeouts   = 10
-	// minTickInterval is the least time between two ticks of the view.
+	// A stream times out after streamTimeoutMult times ProbeTimeout, but not before minStreamTimeout.
+	minStreamTimeout  = time.Second
+	streamTimeoutMult = 10
+	// minTickInterval is the lower bound of the interval at which tickLoop passes the time to the view.
 	minTickInterval = 20 * time.Millisecond
 )
 
@@ -36,7 +37,7 @@
 type Fleet struct {
 	opts       Options
 	memberlist *memberlist.Memberlist
-	start      time.Time
+	startedAt  time.Time
 	log        *slog.Logger
 
 	meta atomic.Pointer[membership.Meta] // of this member; read under memberlist's locks
@@ -46,19 +47,19 @@
 	changes  chan membership.Change
 	counters Counters
 
-	conflictAddress     string            // where another process has this name, by the last join; "" for none
-	announcedLeaves     map[string]uint64 // incarnations of members that announced to leave, by name
-	previousIncarnation uint64            // the highest that others had of this name, from before this start
-	ownAddress          string            // where this member gossips; "" until its name is known to be free
-	pendingUpdates      int               // own updates, not sent yet, that raise this member's SWIM incarnation
+	conflictAddress     string            // of another process of this name, found since the last join began
+	announcedLeaves     map[string]uint64 // incarnations of members that announced their leave, by name
+	previousIncarnation uint64            // the highest of an earlier start of this member that others know
+	ownAddress          string            // of this member's gossip; "" until Start has found its name free
+	pendingUpdates      int               // own updates that raise the SWIM incarnation and are not sent yet
 
-	// SWIM's incarnations, which are memberlist's own counts and not those of membership.Meta, by name.
-	swimIncarnations      map[string]uint32 // as last gossiped alive
-	suspectedIncarnations map[string]uint32 // of members that this one suspected by its own probes
+	// SWIM incarnations by member name: memberlist's counters, distinct from membership.Meta.Incarnation.
+	swimIncarnations      map[string]uint32 // the highest in an alive message
+	suspectedIncarnations map[string]uint32 // the highest that this member suspected by its own probes
 
-	suspectSyncAt map[string]time.Duration // when to exchange states with a suspect, by name
+	suspectSyncAt map[string]time.Duration // time by now() of the next state exchange with a suspect, by name
 	suspectQueue  chan string              // suspects to exchange states with, for syncLoop
-	suspectSyncs  map[string]bool          // exchanges with suspects under way, by name
+	suspectSyncs  map[string]bool          // suspects with a running state exchange, by name
 
 	traffic traffic // on the gossip port
 
@@ -67,9 +68,10 @@
 	once       sync.Once // of Leave or Close
 }
 
-// Start joins the fleet. It returns once this member listens and has attempted to join its seeds; those that
-// do not answer are joined again every RejoinInterval, and their failure is logged, not returned. Errors: a
-// wrong option, an address that can't be bound, a live member of the same name.
+// Start joins the fleet. It returns once this member listens and has attempted to join its seeds. Seeds that
+// do not answer cause no error: the failure is logged, and every RejoinInterval a join of one of them is
+// attempted. Start returns an error if an option is invalid, the address can't be bound, or a live member has
+// the same name.
 func Start(opts Options) (*Fleet, error) {
 	if err := opts.Check(); err != nil {
 		return nil, err
@@ -89,7 +91,7 @@
 	if err := f.checkNameIsFree(); err != nil {
 		return nil, errors.Join(err, f.memberlist.Shutdown())
 	}
-	address := f.Address() // takes memberlist's lock: not under f.mu
+	address := f.Address() // takes memberlist's lock, so f.mu must not be held
 	f.mu.Lock()
 	f.ownAddress = address
 	f.mu.Unlock()
@@ -103,10 +105,10 @@
 func newFleet(opts Options, view *membership.View) *Fleet {
 	f := &Fleet{
 		opts:                  opts,
-		start:                 time.Now(),
+		startedAt:             time.Now(),
 		log:                   opts.Log,
 		view:                  view,
-		changes:               make(chan membership.Change, changesBuffer),
+		changes:               make(chan membership.Change, changesBufferSize),
 		announcedLeaves:       map[string]uint64{},
 		swimIncarnations:      map[string]uint32{},
 		suspectedIncarnations: map[string]uint32{},
@@ -117,7 +119,7 @@
 	}
 	startTime := opts.StartTime
 	if startTime.IsZero() {
-		startTime = f.start
+		startTime = f.startedAt
 	}
 	f.meta.Store(&membership.Meta{
 		Incarnation:   uint64(startTime.UnixMilli()),
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// memberlistConfig is memberlist's configuration without what listen adds.
+// memberlistConfig returns memberlist's configuration without the transport and addresses, which listen sets.
 func (f *Fleet) memberlistConfig() *memberlist.Config {
 	opts := &f.opts
 	config := memberlist.DefaultLANConfig()
@@ -163,25 +165,26 @@
 	config.GossipInterval = opts.GossipInterval
 	config.SuspicionMult = opts.SuspicionMult
 	config.RetransmitMult = retransmitMult
-	config.PushPullInterval = 0         // syncRandomMember does it, at a pace that keeps its cost flat
-	config.SkipInboundLabelCheck = true // the transport checks the label, and counts
-	config.EnableCompression = false    // messages are small, and the transport reads them
+	config.PushPullInterval = 0         // syncRandomMember does it, at an interval that keeps its cost constant
+	config.SkipInboundLabelCheck = true // the transport checks labels and counts mismatches
+	config.EnableCompression = false    // messages are small, and the transport decodes them
 	config.GossipToTheDeadTime = opts.Membership.GoneAfter
-	config.DeadNodeReclaimTime = opts.ProbeTimeout // a restart under its name may come from a new address
-	// A stream gets across the slowest link with which a member still takes part: a suspicion of it is refuted
-	// over one. Only syncLoop and its goroutines wait for streams.
-	config.TCPTimeout = max(opts.ProbeTimeout*streamTimeouts, minStreamTimeout)
+	config.DeadNodeReclaimTime = opts.ProbeTimeout // then a dead member may restart at a new address
+	// Long enough for a stream over the slowest link with which a member can still take part in the fleet,
+	// because a suspicion of that member is refuted over a stream. Once Start has returned, only syncLoop and
+	// the goroutines that it starts wait for streams.
+	config.TCPTimeout = max(opts.ProbeTimeout*streamTimeoutMult, minStreamTimeout)
 	config.Events, config.Conflict = (*eventDelegate)(f), (*eventDelegate)(f)
 	config.Delegate, config.Merge, config.Alive = (*delegate)(f), (*delegate)(f), (*delegate)(f)
 	config.Logger = log.New(&logWriter{f.log}, "", 0)
 	return config
 }
 
-// Address is the host:port at which this member gossips.
+// Address returns the host:port at which this member gossips.
 func (f *Fleet) Address() string { return f.memberlist.LocalNode().FullAddress().Addr }
 
-// now is the view's clock: the monotonic time since the start.
-func (f *Fleet) now() time.Duration { return time.Since(f.start) }
+// now returns the time by the view's clock: the monotonic time since newFleet.
+func (f *Fleet) now() time.Duration { return time.Since(f.startedAt) }
 
 // tickLoop passes the time to the view at intervals, until the member stops.
 func (f *Fleet) tickLoop() {
@@ -200,19 +203,19 @@
 	}
 }
 
-// Members is the view as it is now, by name.
+// Members returns the members in the current view, sorted by name.
 func (f *Fleet) Members() []membership.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Snapshot()
 }
 
-// Changes is the stream of the view's changes. A reader that falls behind by changesBuffer loses changes,
-// which Counters.LostChanges counts; it never blocks the gossip.
+// Changes returns the channel of the view's changes. While changesBufferSize of them wait for the reader,
+// further ones are dropped and counted in Counters.LostChanges, so that a slow reader never blocks gossip.
 func (f *Fleet) Changes() <-chan membership.Change { return f.changes }
 
-// SetPhase publishes whether this member serves, drains or leaves. It returns once the update was sent to all
-// members, or with an error after timeout.
+// SetPhase publishes in this member's metadata whether it serves, drains or leaves. It waits until memberlist
+// has finished gossiping the update, and returns an error if that takes longer than timeout.
 func (f *Fleet) SetPhase(phase membership.Phase, timeout time.Duration) error {
 	f.mu.Lock()
 	meta := *f.meta.Load()
@@ -223,9 +226,9 @@
 	return f.memberlist.UpdateNode(timeout)
 }
 
-// Leave announces that this member leaves, waits up to timeout for the update to spread, and stops. The error
-// is memberlist's if the leave did not spread in time; the member has stopped all the same. After Leave or
-// Close it does nothing and returns nil.
+// Leave announces that this member leaves, waits up to timeout for the announcement to spread, and stops this
+// member. It returns memberlist's error if the leave did not spread in time; the member is stopped in either
+// case. After an earlier Leave or Close it does nothing and returns nil.
 func (f *Fleet) Leave(timeout time.Duration) error {
 	var err error
 	f.once.Do(func() {
@@ -241,8 +244,8 @@
 	return err
 }
 
-// announceLeave sends each live member a leaveMessage. Gossip of the new phase may reach some after the leave
-// itself, which would then look like a failure.
+// announceLeave sends each live member a leaveMessage, because gossip of the Leaving phase may reach a member
+// only after gossip of the leave, which that member would then take for a failure.
 func (f *Fleet) announceLeave() {
 	msg, err := json.Marshal(leaveMessage{Name: f.opts.Name, Incarnation: f.meta.Load().Incarnation})
 	if err != nil {
@@ -255,8 +258,8 @@
 	}
 }
 
-// Close stops at once, without a leave: to the others this member fails. After Leave or Close it does
-// nothing.
+// Close stops this member at once without announcing a leave, so that the others see it fail. After an
+// earlier Leave or Close it does nothing.
 func (f *Fleet) Close() {
 	f.once.Do(func() {
 		close(f.stop)
--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -19,15 +19,15 @@
 		Phase: membership.Draining, LedgerAddress: "127.0.0.1:7947", ReplicaID: 1<<64 - 3}
 }
 
-// What memberlist carries as a member's metadata, in its gossip and its state exchange alike.
+// A member's metadata, which memberlist carries in gossip and in state exchanges alike.
 func TestGoldenMetadataIsReadAndWrittenByteForByte(t *testing.T) {
 	want := goldenMeta()
 	goldenfile.CheckFieldsSet(t, "meta", want)
 	f := &Fleet{}
 	f.meta.Store(&want)
-	held := goldenfile.CheckBytes(t, "meta.json", (*delegate)(f).NodeMeta(memberlist.MetaMaxSize))
+	golden := goldenfile.CheckBytes(t, "meta.json", (*delegate)(f).NodeMeta(memberlist.MetaMaxSize))
 	var got membership.Meta
-	if err := decodeMeta(held, &got); err != nil {
+	if err := decodeMeta(golden, &got); err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.CheckDecoded(t, "meta.json", got, want)
@@ -41,25 +41,25 @@
 		goldenfile.CheckDecoded(t, name, got, want)
 	}
 	// A member without a ledger.
-	least := membership.Meta{Incarnation: 1}
-	if err := decodeMeta(goldenfile.CheckBytes(t, "meta-least.json", encodeMeta(least)), &got); err != nil {
+	minimal := membership.Meta{Incarnation: 1}
+	if err := decodeMeta(goldenfile.CheckBytes(t, "meta-least.json", encodeMeta(minimal)), &got); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.CheckDecoded(t, "meta-least.json", got, least)
+	goldenfile.CheckDecoded(t, "meta-least.json", got, minimal)
 }
 
-// The one message of the fleet's own.
+// A leaveMessage, the only user message that this program sends through memberlist.
 func TestGoldenLeaveIsReadAndWrittenByteForByte(t *testing.T) {
 	want := leaveMessage{Name: "odori-1", Incarnation: 1_790_000_000_123}
 	goldenfile.CheckJSON(t, "leaving.json", want)
-	set := membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, ForgetAfter: time.Minute,
+	settings := membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, ForgetAfter: time.Minute,
 		MaxMembers: 10}
-	view, err := membership.NewView(set, "susukino-2")
+	view, err := membership.NewView(settings, "susukino-2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Fleet{opts: Options{Name: "susukino-2", Membership: set}, view: view,
-		announcedLeaves: map[string]uint64{}, start: time.Now(), log: slog.New(slog.DiscardHandler)}
+	f := &Fleet{opts: Options{Name: "susukino-2", Membership: settings}, view: view,
+		announcedLeaves: map[string]uint64{}, startedAt: time.Now(), log: slog.New(slog.DiscardHandler)}
 	raw, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
@@ -68,9 +68,9 @@
 	goldenfile.CheckDecoded(t, "leaving.json", f.announcedLeaves, map[string]uint64{want.Name: want.Incarnation})
 }
 
-// memberlist's own messages, of which this program reads what it counts and bounds by their fields' names.
-// The program writes none itself: what stands in the file is the fields it reads, in memberlist's codec.
-func TestGoldenGossipIsReadByMemberlistsNames(t *testing.T) {
+// memberlist's own messages, of which this program decodes, by name, the fields that it counts or checks. It
+// encodes none of them itself: the golden files hold just these fields, encoded by memberlist's codec.
+func TestGoldenGossipIsReadByMemberlistFieldNames(t *testing.T) {
 	want := gossipMessage{SeqNo: 1, Incarnation: 2, Node: "odori-1", From: "susukino-2",
 		Addr: []byte{127, 0, 0, 1}, Meta: encodeMeta(goldenMeta()), Vsn: []uint8{1, 5, 2, 6, 7, 8},
 		SourceAddr: []byte{127, 0, 0, 2},
@@ -79,45 +79,47 @@
 	kinds := []byte{pingMsg, indirectPingMsg, ackMsg, suspectMsg, aliveMsg, deadMsg, nackMsg}
 	var parts [][]byte
 	for _, kind := range kinds {
-		parts = append(parts, message(t, kind, want))
+		parts = append(parts, encodeMessage(t, kind, want))
 	}
-	held := goldenfile.CheckBytes(t, "gossip.bin", compound(parts...))
+	golden := goldenfile.CheckBytes(t, "gossip.bin", encodeCompound(parts...))
 	var got []byte
-	if err := readPacket(held, func(kind byte, g gossipMessage) {
+	if err := readPacket(golden, func(kind byte, msg gossipMessage) {
 		got = append(got, kind)
-		goldenfile.CheckDecoded(t, "gossip.bin", g, want)
+		goldenfile.CheckDecoded(t, "gossip.bin", msg, want)
 	}); err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.CheckDecoded(t, "gossip.bin", got, []byte{0, 1, 2, 3, 4, 5, 11})
 
-	head := pushPullHeader{Nodes: 3, UserStateLen: 4, Join: true}
-	stream := goldenfile.CheckBytes(t, "push-pull.bin", message(t, pushPullMsg, head))
-	var read pushPullHeader
-	if err := codec.NewDecoderBytes(stream[1:], &codec.MsgpackHandle{}).Decode(&read); err != nil {
+	header := pushPullHeader{Nodes: 3, UserStateLen: 4, Join: true}
+	stream := goldenfile.CheckBytes(t, "push-pull.bin", encodeMessage(t, pushPullMsg, header))
+	var gotHeader pushPullHeader
+	if err := codec.NewDecoderBytes(stream[1:], &codec.MsgpackHandle{}).Decode(&gotHeader); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.CheckDecoded(t, "push-pull.bin", read, head)
-	if _, err := checkStream(stream, 10); err == nil || err.Error() !=
-		"a user state of 4 bytes, there is none in this fleet" {
+	goldenfile.CheckDecoded(t, "push-pull.bin", gotHeader, header)
+	if _, err := checkStreamHead(stream, 10); err == nil || err.Error() !=
+		"state exchange with a user state of 4 bytes; this program sends none" {
 		t.Errorf("push-pull.bin: %v", err)
 	}
-	if _, err := checkStream(stream, 2); err == nil || err.Error() != "a state of 3 members, max_members is 2" {
+	if _, err := checkStreamHead(stream, 2); err == nil || err.Error() !=
+		"state exchange with 3 members; max_members is 2" {
 		t.Errorf("push-pull.bin: %v", err)
 	}
 }
 
 func TestGoldenRelayedDatagramIsReadAndWrittenByteForByte(t *testing.T) {
 	to := netip.MustParseAddrPort("10.1.2.3:4567")
-	at, b, err := ParseRelayDatagram(goldenfile.CheckBytes(t, "relayed.bin", EncodeRelayDatagram(to, []byte("news"))))
+	got, payload, err := ParseRelayDatagram(goldenfile.CheckBytes(t, "relayed.bin",
+		EncodeRelayDatagram(to, []byte("news"))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.CheckDecoded(t, "relayed.bin", at, to)
-	goldenfile.CheckDecoded(t, "relayed.bin", string(b), "news")
+	goldenfile.CheckDecoded(t, "relayed.bin", got, to)
+	goldenfile.CheckDecoded(t, "relayed.bin", string(payload), "news")
 }
 
-// The counters have no names but their fields' own.
+// Counters has no field tags: the page shows the counters under their Go field names.
 func TestGoldenPageIsReadAndWrittenByteForByte(t *testing.T) {
 	goldenfile.CheckJSON(t, "page.json", Page{Self: "odori-1", Label: "sapporo", Health: 1,
 		Members: []Member{{Name: "susukino-2", Address: "127.0.0.1:7946", Status: "suspect", Gone: true,
--- a/internal/cluster/gossip/locks_test.go
+++ b/internal/cluster/gossip/locks_test.go
@@ -14,20 +14,20 @@
 	"cresshub/internal/testbed/loopback"
 )
 
-// patience bounds every wait of a test; no verdict depends on how much of it is used.
-const patience = 20 * time.Second
+// testTimeout bounds every wait in a test; no result depends on how much of it is used.
+const testTimeout = 20 * time.Second
 
 func startMember(t *testing.T, name string, seeds ...string) *Fleet {
 	t.Helper()
-	return startAt(t, name, "127.0.0.1:0", time.Time{}, seeds...)
+	return startMemberAt(t, name, "127.0.0.1:0", time.Time{}, seeds...)
 }
 
-func startAt(t *testing.T, name, bind string, at time.Time, seeds ...string) *Fleet {
+func startMemberAt(t *testing.T, name, bind string, startTime time.Time, seeds ...string) *Fleet {
 	t.Helper()
-	f, err := Start(Options{Name: name, Bind: bind, Seeds: seeds, Label: "test", StartTime: at,
+	f, err := Start(Options{Name: name, Bind: bind, Seeds: seeds, Label: "test", StartTime: startTime,
 		ProbeInterval: 50 * time.Millisecond, ProbeTimeout: 20 * time.Millisecond,
 		GossipInterval: 5 * time.Millisecond, SuspicionMult: 4,
-		RejoinInterval:        50 * time.Millisecond, // a join fails where this process is stalled
+		RejoinInterval:        50 * time.Millisecond, // retries a join that failed while this process was stalled
 		SyncIntervalPerMember: time.Hour,
 		Membership: membership.Settings{GoneAfter: time.Second, FlapWindow: time.Second, ForgetAfter: time.Minute,
 			MaxMembers: 10},
@@ -38,8 +38,9 @@
 	return f
 }
 
-// Whatever this member does by itself goes on while updates of others come in: memberlist reports them under
-// its own lock, so that nothing may call it with the view's lock held.
+// A member makes progress in its own tasks while it receives updates of others. It would deadlock if a method
+// called memberlist with Fleet.mu held, because memberlist holds its own lock while it reports updates to the
+// delegates, which take Fleet.mu.
 func TestNoLockIsHeldAcrossMemberlistCalls(t *testing.T) {
 	a := startMember(t, "a")
 	b := startMember(t, "b", a.Address())
@@ -64,11 +65,11 @@
 	for range 2 {
 		select {
 		case <-done:
-		case <-time.After(patience):
-			t.Fatal("deadlock: two locks are taken in two orders")
+		case <-time.After(testTimeout):
+			t.Fatal("deadlock: two locks are taken in different orders")
 		}
 	}
-	until(t, "updates come", func() bool {
+	waitUntil(t, "updates come", func() bool {
 		p := a.Snapshot()
 		return len(p.Members) == 2 && p.Counters.Changes > 0
 	})
@@ -76,7 +77,7 @@
 	go func() { a.Close(); b.Close(); close(ended) }()
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("a member does not end while others gossip to it")
 	}
 }
@@ -95,37 +96,38 @@
 		}
 		return membership.Member{}
 	}
-	until := func(what string, holds func(membership.Member) bool) {
+	waitForB := func(what string, holds func(membership.Member) bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !holds(memberB()); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !holds(memberB()); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%s: never; b is %+v", what, memberB())
 			}
 		}
 	}
-	b := startAt(t, "b", net.JoinHostPort(loopback.OwnIP(), "0"), later, a.Address())
-	bind := b.Address() // bound again below: nobody else is given a port of this IP meanwhile
-	// By its name, as the zero member's status is Alive; a merges the state of its join after that has ended.
-	until("b joins", func(m membership.Member) bool { return m.Name == "b" && m.Status == membership.Alive })
+	b := startMemberAt(t, "b", net.JoinHostPort(loopback.OwnIP(), "0"), later, a.Address())
+	bind := b.Address() // bound again below: no other process is given a port of this IP meanwhile
+	// Checks the name because the status of the zero Member is Alive: a may merge b's state only after b's join
+	// has ended.
+	waitForB("b joins", func(m membership.Member) bool { return m.Name == "b" && m.Status == membership.Alive })
 	b.Close()
-	b = startAt(t, "b", bind, time.Time{}, a.Address())
-	until("b is back after a kill, with its clock set back", func(m membership.Member) bool {
+	b = startMemberAt(t, "b", bind, time.Time{}, a.Address())
+	waitForB("b is back after a kill, with its clock set back", func(m membership.Member) bool {
 		return m.Status == membership.Alive && m.Meta.Incarnation > uint64(later.UnixMilli())
 	})
-	b.SetPhase(membership.Draining, patience)
-	until("an update of it is accepted", func(m membership.Member) bool {
+	b.SetPhase(membership.Draining, testTimeout)
+	waitForB("an update of it is accepted", func(m membership.Member) bool {
 		return m.Meta.Phase == membership.Draining
 	})
-	b.Leave(patience)
-	until("b left", func(m membership.Member) bool { return m.Status == membership.Left })
-	b = startAt(t, "b", bind, time.Time{}, a.Address())
+	b.Leave(testTimeout)
+	waitForB("b left", func(m membership.Member) bool { return m.Status == membership.Left })
+	b = startMemberAt(t, "b", bind, time.Time{}, a.Address())
 	defer b.Close()
-	until("b is back after a leave", func(m membership.Member) bool {
+	waitForB("b is back after a leave", func(m membership.Member) bool {
 		return m.Status == membership.Alive && m.Meta.Phase == membership.Serving
 	})
 }
 
-// previousNode is what another member has of a member's earlier incarnation, which started by a clock that
+// previousNode returns what another member knows of an earlier incarnation of f, which started when its clock
 // was ahead.
 func previousNode(t *testing.T, f *Fleet) *memberlist.Node {
 	t.Helper()
@@ -137,8 +139,8 @@
 		Meta: encodeMeta(membership.Meta{Incarnation: f.meta.Load().Incarnation + 1000})}
 }
 
-// Another process under this member's name, met once a partition heals, is not superseded, whenever it
-// started; a previous incarnation at this member's own address is.
+// This member does not supersede another process with its name, which it meets once a partition heals,
+// regardless of when that started. It does supersede a previous incarnation at its own address.
 func TestIncarnationOfDuplicateNameIsNotSuperseded(t *testing.T) {
 	a := startMember(t, "a")
 	defer a.Close()
@@ -161,12 +163,12 @@
 	}
 }
 
-// Gossip of a previous incarnation that arrives between the start of the transport and the first join is
-// superseded as well, and once: memberlist refutes it, so that the join shows only the incarnation that a
-// clock which went back gave.
+// A previous incarnation that is known only from gossip between the start of the transport and the first join
+// is superseded as well, exactly once. memberlist refutes that gossip, so that the join shows only the new
+// incarnation, which is lower because the clock went back.
 func TestPreviousIncarnationInGossipIsSupersededOnce(t *testing.T) {
 	var log bytes.Buffer
-	a, err := startOne(t, "a", func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
+	a, err := startWithOptions(t, "a", func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +176,7 @@
 	if err := a.memberlistConfig().Alive.NotifyAlive(previousNode(t, a)); err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // as after later rejoins
+	for range 3 { // the first call, and those after later rejoins
 		a.supersedePrevious()
 	}
 	if got := a.meta.Load().Incarnation; got != before+1001 {
--- a/internal/cluster/gossip/page.go
+++ b/internal/cluster/gossip/page.go
@@ -6,7 +6,7 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// Page is what /_fleet shows.
+// Page is the JSON document at /_fleet: the view of this proxy and its counters.
 type Page struct {
 	Self     string   `json:"self"`
 	Label    string   `json:"label"`
@@ -15,7 +15,7 @@
 	Health   int      `json:"health"` // memberlist's awareness score: 0 is healthy, higher is slower
 }
 
-// Member is one row of the page, in the operators' words.
+// Member is one member of the view as the page shows it to operators.
 type Member struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
@@ -27,12 +27,13 @@
 	Hall        string `json:"hall,omitempty"`
 	AgeMS       int64  `json:"age_ms"` // since Status last changed
 	Flaps       int    `json:"flaps"`
-	Suspected   int    `json:"suspected"` // times that this view had it suspect
+	Suspected   int    `json:"suspected"` // times that the member became suspect in this view
 }
 
-// Counters count what this member observed since its start. Their names and order are those on the page.
+// Counters count what this member observed since its start. The page shows them under their Go field names,
+// in this order.
 type Counters struct {
-	// Changes of the view, by kind, see membership.ChangeKind.
+	// Changes of the view by kind; see membership.ChangeKind.
 
 	Joins     int
 	Restarts  int
@@ -41,40 +42,40 @@
 	Returned  int
 	Forgotten int
 	Conflicts int // claims to a name that another process has, seen by the view or memberlist
-	Refused   int // names that found the table full
+	Refused   int // observations of new names while the view had MaxMembers
 
 	Rejoins         int // successful joins of seeds and recently dead members
 	Syncs           int // exchanges of full states with random members
-	LostChanges     int // changes that the reader of Fleet.Changes was too slow for
-	MetaRefused     int // metadata of others that did not decode
-	MessagesRefused int // messages of others that did not decode
+	LostChanges     int // changes dropped because the reader of Fleet.Changes was too slow
+	MetaRefused     int // metadata of members that did not decode
+	MessagesRefused int // user messages of others that are no leaveMessage
 
 	Probes         int // probes sent
 	IndirectProbes int // requests to other members to probe one that did not answer
 	Suspicions     int // raised by this member's own probes
 	Suspected      int // members that became suspect in this view, whoever raised it
-	Refutations    int // of suspicions against this member, by itself
+	Refutations    int // sent by this member, of suspicions against itself
 	Refuted        int // suspicions in this view that their member refuted
-	Asked          int // suspects that states were exchanged with
+	Asked          int // suspects with which both state exchanges succeeded
 
 	PacketsIn   int64 // datagrams received, rejected ones included
 	PacketsOut  int64 // datagrams sent
 	StreamsIn   int64 // streams that were checked, rejected ones included
 	StreamsOut  int64 // streams opened, or attempted to open
 	BytesIn     int64 // of datagrams and streams, labels included
-	BytesOut    int64 // the same
+	BytesOut    int64 // of datagrams and streams, labels included
 	WireRefused int64 // malformed datagrams and streams
 	OtherLabel  int64 // datagrams and streams of another fleet
 }
 
-// Snapshot returns the view as it is now, members by name.
+// Snapshot returns the current page, its members sorted by name.
 func (f *Fleet) Snapshot() Page {
 	health := f.memberlist.GetHealthScore()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
 	page := Page{Self: f.opts.Name, Label: f.opts.Label, Counters: f.counters, Health: health}
-	f.traffic.writeTo(&page.Counters)
+	f.traffic.copyTo(&page.Counters)
 	for _, member := range f.view.Snapshot() {
 		page.Members = append(page.Members, pageRow(now, member))
 	}
--- a/internal/cluster/gossip/suspicion.go
+++ b/internal/cluster/gossip/suspicion.go
@@ -8,23 +8,24 @@
 	"cresshub/internal/cluster/membership"
 )
 
-// smallClusterSize is the number of members up to which a fleet counts as small.
-const smallClusterSize = 32
+// smallFleetSize is the number of members up to which a fleet counts as small.
+const smallFleetSize = 32
 
 // maxSuspectSyncs is how many suspects this member exchanges states with at once. A member whose own links
-// are slow suspects all others, and each exchange takes several times its links' delay: one after the
-// other, the last would come after its suspicion has ended.
+// are slow suspects all others, and each exchange takes several times its links' delay: if the exchanges ran
+// one after the other, the last would start after its suspicion has ended.
 const maxSuspectSyncs = 16
 
-// scheduleSuspectSyncs schedules an exchange of states with each suspect of the view, whichever member
-// raised the suspicion, at a time drawn for each. In this way it learns of a refutation that gossip has not
-// delivered. In a small fleet, where gossip misses more, the exchange comes before a confirmed suspicion
-// ends; in a large one it comes after, so that not all members call a lost one. f.mu is held.
+// scheduleSuspectSyncs schedules an exchange of states with each suspect of the view, whichever member raised
+// the suspicion, after a random delay. By the exchange, this member learns of a refutation that gossip has
+// not delivered. In a small fleet, where gossip misses more, the exchange comes before a confirmed suspicion
+// ends; in a large fleet it comes later, so that not all members connect to one that has failed. f.mu is
+// held.
 func (f *Fleet) scheduleSuspectSyncs() {
 	now := f.now()
 	members := f.view.Snapshot()
 	minTimeout := float64(f.opts.SuspicionMult) * float64(f.opts.ProbeInterval)
-	// memberlist ends a suspicion within this time, by a death it reports or a refutation it passes on.
+	// memberlist ends a suspicion within this time: it reports the member dead or forwards a refutation.
 	maxTimeout := 6*minTimeout*math.Max(1, math.Log10(float64(len(members)))) + float64(time.Second)
 	suspects := map[string]bool{}
 	for _, member := range members {
@@ -40,7 +41,7 @@
 		case !scheduled:
 			f.suspectSyncAt[name] = member.StatusSince + suspectSyncDelay(minTimeout, len(members))
 		case now >= at:
-			f.suspectSyncAt[name] = now + time.Duration(2*minTimeout) // again if this one did not help
+			f.suspectSyncAt[name] = now + time.Duration(2*minTimeout) // again, if the suspicion lasts
 			f.queueSuspectSync(name)
 		}
 	}
@@ -51,17 +52,18 @@
 	}
 }
 
-// suspectSyncDelay draws how long after a suspicion began states are exchanged with the suspect.
+// suspectSyncDelay returns a random delay from the start of a suspicion to the state exchange with the
+// suspect. minTimeout is in nanoseconds.
 func suspectSyncDelay(minTimeout float64, members int) time.Duration {
 	fraction := 1 + 2*rand.Float64()
-	if members <= smallClusterSize {
+	if members <= smallFleetSize {
 		fraction = 0.3 + 0.4*rand.Float64()
 	}
 	return time.Duration(minTimeout * fraction)
 }
 
-// queueSuspectSync has syncLoop exchange states with a suspect, unless the queue is full: then very many
-// members are unreachable, or this one is.
+// queueSuspectSync queues a suspect for syncLoop to exchange states with. It drops the suspect if the queue
+// is full: then very many members are unreachable, or this one is.
 func (f *Fleet) queueSuspectSync(name string) {
 	select {
 	case f.suspectQueue <- name:
@@ -69,8 +71,9 @@
 	}
 }
 
-// startSuspectSync exchanges states with a suspect in a goroutine, unless one does already or too many do:
-// scheduleSuspectSyncs queues it again as long as it is suspect.
+// startSuspectSync exchanges states with a suspect in a goroutine. It does nothing if an exchange with this
+// suspect or maxSuspectSyncs exchanges are running: scheduleSuspectSyncs queues the member again while it is
+// suspect.
 func (f *Fleet) startSuspectSync(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,9 +89,9 @@
 	})
 }
 
-// syncWithSuspect exchanges states with a suspect twice: by the first exchange it learns of the suspicion, by
-// the second this member learns of its refutation. Gossip would carry both, but reaches each member only most
-// likely, and it is a member with slow links of its own that suspects many.
+// syncWithSuspect exchanges states with a suspect twice: by the first exchange the suspect learns of the
+// suspicion, by the second this member learns of its refutation. Gossip carries both, but reaches each member
+// only with high probability, and a member with slow links of its own suspects many others.
 func (f *Fleet) syncWithSuspect(name string) {
 	for exchange := range 2 {
 		f.mu.Lock()
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// maxPendingStreams is how many streams are checked at once; beyond, they are closed.
+	// maxPendingStreams is how many inbound streams are checked at once; further ones are closed.
 	maxPendingStreams = 64
-	// maxStreamHead is how many bytes of a stream are checked before memberlist gets it.
-	maxStreamHead = 128
+	// maxStreamHeadBytes is how many bytes of a stream are checked, at most, before memberlist gets it.
+	maxStreamHeadBytes = 128
 )
 
 // transport is memberlist's own transport behind a filter: inbound traffic is checked for its label and
 // against the bounds, outbound datagrams are read for suspicions and refutations, and both are counted.
-// With a relay (tests and the laboratory alone), all outbound traffic goes through it.
+// With a relay (only in tests and cresshub-lab), all outbound traffic goes through it.
 //
 // memberlist calls its methods from goroutines of its own, and Shutdown last.
 type transport struct {
@@ -42,7 +42,8 @@
 	goroutines  sync.WaitGroup
 }
 
-// newTransport listens at an address, for datagrams and streams, and starts the filters.
+// newTransport listens at an address for datagrams and streams, and starts the filters. timeout bounds the
+// check of an inbound stream.
 func newTransport(f *Fleet, ip string, port int, timeout time.Duration, logger *log.Logger) (*transport,
 	error) {
 	t := &transport{
@@ -69,7 +70,7 @@
 	return t, nil
 }
 
-// useRelay has all outbound traffic go through a relay at an address.
+// useRelay directs all outbound traffic through a relay at an address.
 func (t *transport) useRelay(address string) error {
 	var err error
 	if t.relay, err = netip.ParseAddrPort(address); err != nil {
@@ -89,7 +90,7 @@
 // StreamCh is part of memberlist.Transport: the streams that passed the checks.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown is part of memberlist.Transport. It ends the listeners and all goroutines; further calls do
+// Shutdown is part of memberlist.Transport. It stops the listeners and all goroutines; further calls do
 // nothing.
 func (t *transport) Shutdown() error {
 	var err error
@@ -101,8 +102,9 @@
 	return err
 }
 
-// shutdownListeners ends memberlist's transport. That waits for its listeners, and they wait until what they
-// have read is taken.
+// shutdownListeners shuts down memberlist's transport, whose Shutdown waits for its listeners. These may be
+// blocked until the datagrams and streams that they have read are received, so they are received and
+// discarded here.
 func (t *transport) shutdownListeners() error {
 	ended := make(chan error, 1)
 	go func() { ended <- t.NetTransport.Shutdown() }()
@@ -117,7 +119,7 @@
 	}
 }
 
-// filterPackets hands on the datagrams that pass the checks.
+// filterPackets forwards the datagrams that pass the checks to memberlist, until Shutdown.
 func (t *transport) filterPackets() {
 	for {
 		select {
@@ -129,35 +131,35 @@
 	}
 }
 
-// filterPacket hands on a datagram, without its label, or rejects it.
+// filterPacket forwards a datagram without its label to memberlist, or rejects it.
 func (t *transport) filterPacket(packet *memberlist.Packet) {
 	t.fleet.traffic.packetsIn.Add(1)
 	t.fleet.traffic.bytesIn.Add(int64(len(packet.Buf)))
-	plain, err := t.removeLabel(packet.Buf)
+	unlabeled, err := t.removeLabel(packet.Buf)
 	if err == nil {
-		err = readPacket(plain, nil)
+		err = readPacket(unlabeled, nil)
 	}
 	if err != nil {
 		t.reject("datagram", packet.From, err)
 		return
 	}
-	packet.Buf = plain
+	packet.Buf = unlabeled
 	select {
 	case t.packets <- packet:
 	case <-t.stop:
 	}
 }
 
-// errOtherLabel is a datagram or stream of another fleet.
+// errOtherLabel means that a datagram or stream carries another fleet's label.
 var errOtherLabel = errors.New("another fleet's label")
 
-// removeLabel returns a datagram without its label, and an error if that is not this fleet's.
+// removeLabel returns a datagram without its label, and an error if the label is not this fleet's.
 func (t *transport) removeLabel(packet []byte) ([]byte, error) {
-	plain, label, err := memberlist.RemoveLabelHeaderFromPacket(packet)
+	unlabeled, label, err := memberlist.RemoveLabelHeaderFromPacket(packet)
 	if err == nil {
 		err = t.checkLabel(label)
 	}
-	return plain, err
+	return unlabeled, err
 }
 
 // checkLabel returns errOtherLabel if a label is not this fleet's.
@@ -178,7 +180,7 @@
 	t.fleet.log.Warn("fleet: "+what+" rejected", "from", from.String(), "why", err.Error())
 }
 
-// filterStreams has each stream checked in a goroutine of its own.
+// filterStreams checks each inbound stream in a goroutine of its own, until Shutdown.
 func (t *transport) filterStreams() {
 	for {
 		select {
@@ -189,14 +191,14 @@
 			case t.streamSlots <- struct{}{}:
 				t.goroutines.Go(func() { t.filterStream(conn) })
 			default:
-				t.reject("stream", conn.RemoteAddr(), errors.New("too many at once"))
+				t.reject("stream", conn.RemoteAddr(), errors.New("too many streams are being checked"))
 				conn.Close()
 			}
 		}
 	}
 }
 
-// filterStream checks a stream's label and first bytes and hands on all of it, or closes it.
+// filterStream checks a stream's label and first bytes, and forwards the stream to memberlist or closes it.
 func (t *transport) filterStream(conn net.Conn) {
 	defer func() { <-t.streamSlots }()
 	t.fleet.traffic.streamsIn.Add(1)
@@ -215,49 +217,51 @@
 	}
 }
 
-// checkInbound returns a stream without its label, bounded and counted, or what is wrong with its beginning.
+// checkInbound checks the label and the first bytes of a stream. It returns the stream without its label,
+// bounded and with its bytes counted.
 func (t *transport) checkInbound(conn net.Conn) (*limitedConn, error) {
 	counted := &countedConn{Conn: conn, traffic: &t.fleet.traffic}
-	plain, label, err := memberlist.RemoveLabelHeaderFromStream(counted)
+	unlabeled, label, err := memberlist.RemoveLabelHeaderFromStream(counted)
 	if err == nil {
 		err = t.checkLabel(label)
 	}
 	if err != nil {
 		return nil, err
 	}
-	in := bufio.NewReaderSize(plain, maxStreamHead)
+	in := bufio.NewReaderSize(unlabeled, maxStreamHeadBytes)
 	limit, err := t.checkHead(in)
 	if err != nil {
 		return nil, err
 	}
-	return &limitedConn{Conn: plain, in: io.LimitReader(in, int64(limit))}, nil
+	return &limitedConn{Conn: unlabeled, reader: io.LimitReader(in, int64(limit))}, nil
 }
 
-// checkHead reads as much of a stream as it takes to check its head, in however many segments that arrives,
-// and returns how many bytes the stream may have. It consumes nothing.
+// checkHead reads as much of a stream as the check of its first bytes needs, in however many segments they
+// arrive, and returns how many bytes the stream may have. It leaves all bytes in the reader.
 func (t *transport) checkHead(in *bufio.Reader) (int, error) {
 	for size := 1; ; size = in.Buffered() + 1 {
 		if _, err := in.Peek(size); err != nil {
 			return 0, err
 		}
 		head, _ := in.Peek(in.Buffered())
-		limit, err := checkStream(head, t.fleet.opts.Membership.MaxMembers)
+		limit, err := checkStreamHead(head, t.fleet.opts.Membership.MaxMembers)
 		isTruncated := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
-		if !isTruncated || len(head) >= maxStreamHead {
+		if !isTruncated || len(head) >= maxStreamHeadBytes {
 			return limit, err
 		}
 	}
 }
 
-// limitedConn is a stream that was checked, with the bytes that were, up to its bound.
+// limitedConn is a stream that passed the check. Its reader begins with the checked bytes and ends at the
+// stream's bound.
 type limitedConn struct {
 	net.Conn
-	in io.Reader
+	reader io.Reader
 }
 
-func (c *limitedConn) Read(b []byte) (int, error) { return c.in.Read(b) }
+func (c *limitedConn) Read(b []byte) (int, error) { return c.reader.Read(b) }
 
-// countedConn counts a stream's bytes, both ways.
+// countedConn counts the bytes of a stream in both directions.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
@@ -275,12 +279,12 @@
 	return n, err
 }
 
-// WriteTo is part of memberlist.Transport: it sends a datagram, which it reads and counts first.
+// WriteTo is part of memberlist.Transport: it counts a datagram, observes its messages and sends it.
 func (t *transport) WriteTo(packet []byte, addr string) (time.Time, error) {
 	t.fleet.traffic.packetsOut.Add(1)
 	t.fleet.traffic.bytesOut.Add(int64(len(packet)))
-	if plain, err := t.removeLabel(packet); err == nil {
-		_ = readPacket(plain, t.fleet.observeOutbound) // all that memberlist sends is well-formed
+	if unlabeled, err := t.removeLabel(packet); err == nil {
+		_ = readPacket(unlabeled, t.fleet.observeOutbound) // all that memberlist sends is well-formed
 	}
 	if !t.relay.IsValid() {
 		return t.NetTransport.WriteTo(packet, addr)
@@ -316,14 +320,15 @@
 	return t.DialTimeout(to.Addr, timeout)
 }
 
-// traffic counts what passes the gossip port, labels included. Its methods may be called from any goroutine.
+// traffic counts the traffic on the gossip port, labels included. Its methods may be called from any
+// goroutine.
 type traffic struct {
 	packetsIn, packetsOut, bytesIn, bytesOut, streamsIn, streamsOut atomic.Int64
 	rejected, otherLabel                                            atomic.Int64
 }
 
-// writeTo sets the counters of traffic.
-func (t *traffic) writeTo(counters *Counters) {
+// copyTo sets the traffic fields of counters.
+func (t *traffic) copyTo(counters *Counters) {
 	counters.PacketsIn, counters.PacketsOut = t.packetsIn.Load(), t.packetsOut.Load()
 	counters.StreamsIn, counters.StreamsOut = t.streamsIn.Load(), t.streamsOut.Load()
 	counters.BytesIn, counters.BytesOut = t.bytesIn.Load(), t.bytesOut.Load()
