--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -135,7 +135,7 @@
 func (s *Server) startAttempt(call *dispatch.Call, step dispatch.Step, id string, message *http1.Request,
 	u *upload) *attempt {
 	a := &attempt{Attempt: upstream.Attempt{Server: step.Server, Request: message, StartBy: step.StartBy,
-		GiveUpAt: step.Deadline}}
+		Deadline: step.Deadline}}
 	if u != nil {
 		a.Upload = attemptUpload{u, step.Attempt}
 	}
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -24,7 +24,7 @@
 	Request  *http1.Request // without X-Timeout
 	Upload   Upload         // what follows Request's Body; nil if that is all
 	StartBy  time.Time      // its first byte must be written before; zero if there is no such bound
-	GiveUpAt time.Time      // it ends as TimedOut then
+	Deadline time.Time      // it ends as TimedOut then
 	Done     func(Outcome)  // called once, from another goroutine than Start's
 
 	ctx    context.Context
@@ -94,7 +94,7 @@
 		}
 	}
 	message := *a.Request
-	remaining := strconv.FormatFloat(time.Until(a.GiveUpAt).Seconds(), 'f', 3, 64)
+	remaining := strconv.FormatFloat(time.Until(a.Deadline).Seconds(), 'f', 3, 64)
 	message.Header = append(slices.Clip(message.Header), http1.Field{Name: "X-Timeout", Value: remaining})
 	if message.Header.Get("Host") == "" { // HTTP/1.0 may come without one
 		message.Header = append(message.Header, http1.Field{Name: "Host", Value: host})
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -42,7 +42,7 @@
 	done := make(chan Outcome, 1)
 	host := http1.Header{{Name: "Host", Value: "h"}}
 	a := &Attempt{Request: &http1.Request{Method: "POST", Target: "/api", Header: host},
-		GiveUpAt: until, Done: func(o Outcome) { done <- o }}
+		Deadline: until, Done: func(o Outcome) { done <- o }}
 	p.Start(a)
 	return a, done
 }
--- a/internal/proxy/upstream/buffer.go
+++ b/internal/proxy/upstream/buffer.go
@@ -80,19 +80,19 @@
 // awaitTooLong waits for the next bytes of the body. It returns true if they take so long that what was
 // read is passed on. Read reports any other error.
 func (b *responseBuffer) awaitTooLong() bool {
-	netConn, giveUpAt := b.conn.netConn, b.attempt.GiveUpAt
+	netConn, deadline := b.conn.netConn, b.attempt.Deadline
 	for !b.body.Buffered() {
 		if b.waitedAt < 0 {
 			b.waitedAt = b.read
 		}
-		until := giveUpAt
+		until := deadline
 		if limit := b.began.Add(streamWaitFactor * b.bufferTime); !b.reservation.Large() && limit.Before(until) {
 			until = limit
 		}
 		netConn.SetReadDeadline(until)
 		_, err := netConn.In.Peek(netConn.In.Buffered() + 1) // consumes nothing, so its time-out loses nothing
-		netConn.SetReadDeadline(giveUpAt)
-		if errors.Is(err, os.ErrDeadlineExceeded) && until.Before(giveUpAt) && b.attempt.ctx.Err() == nil {
+		netConn.SetReadDeadline(deadline)
+		if errors.Is(err, os.ErrDeadlineExceeded) && until.Before(deadline) && b.attempt.ctx.Err() == nil {
 			return true
 		}
 		if err != nil {
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -119,7 +119,7 @@
 		return dispatch.Skipped, false
 	}
 	deadline := time.Now().Add(c.pool.limits.Load().Dial)
-	latest := a.GiveUpAt
+	latest := a.Deadline
 	if !a.StartBy.IsZero() && a.StartBy.Before(latest) {
 		latest = a.StartBy
 	}
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -61,7 +61,7 @@
 		return dispatch.Cancelled, true
 	case !listed || address != c.address:
 		return dispatch.Rejected, false
-	case !time.Now().Before(a.GiveUpAt), !a.StartBy.IsZero() && !time.Now().Before(a.StartBy):
+	case !time.Now().Before(a.Deadline), !a.StartBy.IsZero() && !time.Now().Before(a.StartBy):
 		return dispatch.Skipped, true
 	case !a.state.CompareAndSwap(attemptPending, attemptStarted):
 		return dispatch.Cancelled, true
@@ -104,7 +104,7 @@
 	if c.netConn.Flush() != nil {
 		return a.resultOr(dispatch.NoConnection)
 	}
-	a.GiveUpAt = a.Upload.Sent()
+	a.Deadline = a.Upload.Sent()
 	c.setDeadline(a)
 	return dispatch.Served
 }
@@ -112,9 +112,9 @@
 // setDeadline has the exchange end when the attempt gives up. A probe waits longer by the time in which this
 // process does not run; an attempt's client does not.
 func (c *conn) setDeadline(a *Attempt) {
-	d := stallclock.Deadline{From: time.Now(), At: a.GiveUpAt}
+	d := stallclock.Deadline{From: time.Now(), At: a.Deadline}
 	if !a.probe {
-		d.Limit = a.GiveUpAt
+		d.Limit = a.Deadline
 	}
 	c.deadlines.SetRead(d)
 	c.deadlines.SetWrite(d)
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -94,7 +94,7 @@
 	server dispatch.ServerID, done func(result dispatch.Result, took time.Duration, load []float64),
 ) {
 	began := time.Now()
-	a := &Attempt{Server: server, probe: true, GiveUpAt: began.Add(p.limits.Load().Probe)}
+	a := &Attempt{Server: server, probe: true, Deadline: began.Add(p.limits.Load().Probe)}
 	a.Done = func(o Outcome) {
 		a.cancel()
 		p.stats.Probes.Add(int(o.Result))
--- a/internal/proxy/upstream/reuse_test.go
+++ b/internal/proxy/upstream/reuse_test.go
@@ -132,7 +132,7 @@
 			p.idle[0] = nil
 			next := make(chan Outcome, 1)
 			a := &Attempt{Request: &http1.Request{Method: "POST", Target: "/", Header: http1.Header{{Name: "Host",
-				Value: "h"}}}, GiveUpAt: distantDeadline(), Done: func(o Outcome) { next <- o }}
+				Value: "h"}}}, Deadline: distantDeadline(), Done: func(o Outcome) { next <- o }}
 			a.initContext()
 			c.next = a
 			happens(p, c, far)
