--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -115,7 +115,7 @@
 	var attempts []*attempt
 	defer func() {
 		for _, a := range attempts {
-			a.Drop()
+			a.CancelIfPending()
 		}
 	}()
 	for {
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -30,14 +30,14 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	probe  bool
-	state  atomic.Int32 // attemptPending, attemptStarted or attemptDropped
+	state  atomic.Int32 // attemptPending, attemptStarted or attemptCancelled
 }
 
-// The states of an attempt. Of begin and Drop the first one decides.
+// The states of an attempt. Of begin and CancelIfPending the first one decides.
 const (
-	attemptPending = iota // none of its bytes was written
-	attemptStarted        // its first byte may be written
-	attemptDropped        // its request has ended, so it must not start
+	attemptPending   = iota // none of its bytes was written
+	attemptStarted          // its first byte may be written
+	attemptCancelled        // its request has ended, so it must not start
 )
 
 // Upload is the part of a request's body that is not buffered. It can be read once, so one attempt alone has
@@ -75,15 +75,15 @@
 // Cancel aborts the attempt if it is still under way: its connection is closed.
 func (a *Attempt) Cancel() { a.cancel() }
 
-// Drop aborts the attempt if none of it was written: its request has ended, and a server that never got it
+// CancelIfPending aborts the attempt if none of it was written: its request has ended, and a server that never got it
 // has nothing to cancel.
-func (a *Attempt) Drop() {
-	if a.state.CompareAndSwap(attemptPending, attemptDropped) {
+func (a *Attempt) CancelIfPending() {
+	if a.state.CompareAndSwap(attemptPending, attemptCancelled) {
 		a.cancel()
 	}
 }
 
-// initContext sets the context that ends with Cancel or Drop.
+// initContext sets the context that ends with Cancel or CancelIfPending.
 func (a *Attempt) initContext() { a.ctx, a.cancel = context.WithCancel(context.Background()) }
 
 // message is the attempt's request as it is sent now, with the remaining time, in seconds, as X-Timeout.
