--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -143,7 +143,7 @@
 	a.Done = func(outcome upstream.Outcome) {
 		a.outcome = outcome
 		s.releaseID(id)
-		if !s.Decider.Report(call, number, outcome.Verdict(), outcome.Load) {
+		if !s.Decider.Report(call, number, outcome.ReportedResult(), outcome.Load) {
 			s.Pool.Release(&outcome)
 		}
 	}
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -63,9 +63,9 @@
 	reserved int // bytes taken from the budget for Response's Body
 }
 
-// Verdict is the result by which the server is judged: a timeout proves nothing where this process did not
+// ReportedResult is the result by which the server is judged: a timeout proves nothing where this process did not
 // run.
-func (o Outcome) Verdict() dispatch.Result {
+func (o Outcome) ReportedResult() dispatch.Result {
 	if o.Stalled {
 		return dispatch.Cancelled
 	}
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -100,7 +100,7 @@
 		p.stats.Probes.Add(int(o.Result))
 		p.countMissingReport(o)
 		p.Release(&o)
-		done(o.Verdict(), time.Since(began), o.Load)
+		done(o.ReportedResult(), time.Since(began), o.Load)
 	}
 	p.start(a)
 }
