--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -54,11 +54,11 @@
 // Outcome is how an attempt ended, or that its response has begun. Whoever gets one passes it to
 // Pool.Release.
 type Outcome struct {
-	Result   dispatch.Result
-	Response *http1.Response // nil if none was read
-	Stream   *Stream         // what follows Response's Body; nil if that is all
-	Load     []float64       // the server's load report; nil if none came
-	Stalled  bool            // it timed out, but this process did not run for a part of the time
+	Result         dispatch.Result
+	Response       *http1.Response // nil if none was read
+	Stream         *Stream         // what follows Response's Body; nil if that is all
+	Load           []float64       // the server's load report; nil if none came
+	ProcessStalled bool            // it timed out, but this process did not run for a part of the time
 
 	reserved int // bytes taken from the budget for Response's Body
 }
@@ -66,7 +66,7 @@
 // ReportedResult is the result by which the server is judged: a timeout proves nothing where this process did not
 // run.
 func (o Outcome) ReportedResult() dispatch.Result {
-	if o.Stalled {
+	if o.ProcessStalled {
 		return dispatch.Cancelled
 	}
 	return o.Result
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		c.pool.Release(&outcome)
 		result := a.receiveFailure(err)
-		return Outcome{Result: result, Stalled: result == dispatch.TimedOut && !c.deadlines.TimedOut()}, false
+		return Outcome{Result: result, ProcessStalled: result == dispatch.TimedOut && !c.deadlines.TimedOut()}, false
 	}
 	outcome.Result, outcome.Response = a.classify(response), response
 	outcome.Load = c.pool.reportFormat.parse(response, a.probe)
