--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -61,9 +61,9 @@
 	return n, err
 }
 
-// Sent says that the last byte is sent: the request's time begins. It returns until when the response is
+// MarkSent says that the last byte is sent: the request's time begins. It returns until when the response is
 // waited for.
-func (u attemptUpload) Sent() time.Time {
+func (u attemptUpload) MarkSent() time.Time {
 	if u.server.onBodySent != nil {
 		u.server.onBodySent()
 	}
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -47,8 +47,8 @@
 	Claim() bool
 	// Read reads the next bytes. io.EOF ends the body, any other error is the client's.
 	Read(p []byte) (int, error)
-	// Sent is called once, when the last byte is written, and returns until when the response is waited for.
-	Sent() time.Time
+	// MarkSent is called once, when the last byte is written, and returns until when the response is waited for.
+	MarkSent() time.Time
 }
 
 // Outcome is how an attempt ended, or that its response has begun. Whoever gets one passes it to
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -104,7 +104,7 @@
 	if c.netConn.Flush() != nil {
 		return a.resultOr(dispatch.NoConnection)
 	}
-	a.Deadline = a.Upload.Sent()
+	a.Deadline = a.Upload.MarkSent()
 	c.setDeadline(a)
 	return dispatch.Served
 }
