--- a/internal/proxy/daemon/limits.go
+++ b/internal/proxy/daemon/limits.go
@@ -93,7 +93,7 @@
 // poolLimits are the connection pool's limits by the configuration.
 func poolLimits(cfg *config.Config) upstream.Limits {
 	dial := cfg.Upstream.DialLimit()
-	return upstream.Limits{Dial: dial, MaxIdle: cfg.Upstream.MaxIdle(),
-		DuplicateGuard: cfg.Upstream.DuplicateGuard, Probe: dial + cfg.Upstream.ProbeTimeout,
-		BufferTime: cfg.Upstream.BufferTime, Stall: cfg.Upstream.StallTimeout}
+	return upstream.Limits{DialTimeout: dial, MaxIdle: cfg.Upstream.MaxIdle(),
+		DuplicateGuard: cfg.Upstream.DuplicateGuard, ProbeTimeout: dial + cfg.Upstream.ProbeTimeout,
+		BufferTime: cfg.Upstream.BufferTime, StallTimeout: cfg.Upstream.StallTimeout}
 }
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -32,8 +32,8 @@
 
 // newPool returns a pool whose time-outs a stalled machine cannot reach.
 func newPool(p *fakeDirectory, reuse time.Duration) *Pool {
-	return New(p, nil, Limits{Dial: nettest.Patience, MaxIdle: reuse, Probe: nettest.Patience,
-		BufferTime: nettest.Patience, Stall: nettest.Patience},
+	return New(p, nil, Limits{DialTimeout: nettest.Patience, MaxIdle: reuse, ProbeTimeout: nettest.Patience,
+		BufferTime: nettest.Patience, StallTimeout: nettest.Patience},
 		[]string{"active", "waiting", "cpu"}, descriptors.NewBudget(100, 0.6, 0.25), bodybudget.NewBudget(1<<20),
 		&stats.Set{})
 }
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -112,13 +112,13 @@
 
 var dialer = net.Dialer{KeepAlive: -1} // every exchange has a deadline of its own
 
-// dial opens the connection, for which the attempt's own times and Limits.Dial are the bounds. If it returns
+// dial opens the connection, for which the attempt's own times and Limits.DialTimeout are the bounds. If it returns
 // false the attempt never ran, and ends with the result.
 func (c *conn) dial(a *Attempt) (dispatch.Result, bool) {
 	if !c.pool.budget.Acquire(descriptors.Servers) {
 		return dispatch.Skipped, false
 	}
-	deadline := time.Now().Add(c.pool.limits.Load().Dial)
+	deadline := time.Now().Add(c.pool.limits.Load().DialTimeout)
 	latest := a.Deadline
 	if !a.StartBy.IsZero() && a.StartBy.Before(latest) {
 		latest = a.StartBy
@@ -147,7 +147,7 @@
 }
 
 // dialContext ends when the connection counts as failed that is not open yet: at a deadline of the attempt,
-// or once this process has run until Limits.Dial is over.
+// or once this process has run until Limits.DialTimeout is over.
 func (c *conn) dialContext(parent context.Context, deadline time.Time, boundByAttempt bool) (context.Context,
 	context.CancelFunc) {
 	if boundByAttempt {
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -88,7 +88,7 @@
 
 // sendUpload is send for a request whose body is not all buffered.
 func (c *conn) sendUpload(a *Attempt) dispatch.Result {
-	c.netConn.SetDeadline(time.Now().Add(c.pool.limits.Load().Stall))
+	c.netConn.SetDeadline(time.Now().Add(c.pool.limits.Load().StallTimeout))
 	w, err := a.message(c.address).Begin(c.netConn.Out)
 	if err == nil {
 		err = c.netConn.Flush() // before anything is read of the body, which no other attempt could have then
@@ -129,7 +129,7 @@
 	if !a.Upload.Claim() {
 		return errBodyClaimed
 	}
-	stall := c.pool.limits.Load().Stall
+	stall := c.pool.limits.Load().StallTimeout
 	for {
 		n, readErr := a.Upload.Read(buffer)
 		c.netConn.SetWriteDeadline(time.Now().Add(stall))
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -32,19 +32,19 @@
 
 // Limits are the pool's time-outs; they may change while it is in use.
 type Limits struct {
-	// Dial bounds the time for a connection to be established.
-	Dial time.Duration
+	// DialTimeout bounds the time for a connection to be established.
+	DialTimeout time.Duration
 	// MaxIdle is how long a connection may have been idle to be used again.
 	MaxIdle time.Duration
 	// DuplicateGuard is how long a connection must have been idle to be used for a request after another one:
 	// a server may send a late duplicate of its last response. After a probe there is no such wait.
 	DuplicateGuard time.Duration
-	// Probe bounds a probe from its start to the end of the response.
-	Probe time.Duration
+	// ProbeTimeout bounds a probe from its start to the end of the response.
+	ProbeTimeout time.Duration
 	// BufferTime is how long a response of unknown length is buffered before it is streamed.
 	BufferTime time.Duration
-	// Stall bounds the time in which a body that is streamed, in either direction, makes no progress.
-	Stall time.Duration
+	// StallTimeout bounds the time in which a body that is streamed, in either direction, makes no progress.
+	StallTimeout time.Duration
 }
 
 // Pool holds the connections to all zone servers.
@@ -94,7 +94,7 @@
 	server dispatch.ServerID, done func(result dispatch.Result, took time.Duration, load []float64),
 ) {
 	began := time.Now()
-	a := &Attempt{Server: server, probe: true, Deadline: began.Add(p.limits.Load().Probe)}
+	a := &Attempt{Server: server, probe: true, Deadline: began.Add(p.limits.Load().ProbeTimeout)}
 	a.Done = func(o Outcome) {
 		a.cancel()
 		p.stats.Probes.Add(int(o.Result))
--- a/internal/proxy/upstream/stalls_test.go
+++ b/internal/proxy/upstream/stalls_test.go
@@ -53,7 +53,7 @@
 	p.clock = stallclock.New(nil)
 	p.clock.Inject(time.Now().Add(time.Hour), time.Hour)
 	limits := *p.limits.Load()
-	limits.Probe = time.Millisecond // less than any server needs to answer here
+	limits.ProbeTimeout = time.Millisecond // less than any server needs to answer here
 	p.SetLimits(limits)
 	result := make(chan dispatch.Result)
 	p.Probe(1, func(r dispatch.Result, _ time.Duration, _ []float64) { result <- r })
--- a/internal/proxy/upstream/stream.go
+++ b/internal/proxy/upstream/stream.go
@@ -17,9 +17,9 @@
 }
 
 // Read reads the next bytes; io.EOF comes only where the response is complete. Each call may last
-// Limits.Stall, also where bytes are buffered: they may be no more than the end of a chunk.
+// Limits.StallTimeout, also where bytes are buffered: they may be no more than the end of a chunk.
 func (s *Stream) Read(p []byte) (int, error) {
-	s.conn.netConn.SetReadDeadline(time.Now().Add(s.conn.pool.limits.Load().Stall))
+	s.conn.netConn.SetReadDeadline(time.Now().Add(s.conn.pool.limits.Load().StallTimeout))
 	return s.body.Read(p)
 }
 
--- a/internal/proxy/upstream/stream_test.go
+++ b/internal/proxy/upstream/stream_test.go
@@ -13,7 +13,7 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// A streamed response may outlast its request's deadline: each Read may last Limits.Stall, whatever part of
+// A streamed response may outlast its request's deadline: each Read may last Limits.StallTimeout, whatever part of
 // the coding is buffered already.
 func TestStreamOutlastsRequestDeadline(t *testing.T) {
 	piece := strings.Repeat("x", 1000)
@@ -69,7 +69,7 @@
 }
 
 // A streamed response that stalls, ends early or is longer than stated never counts as complete, blocks its
-// reader no longer than Limits.Stall, and leaves no connection for reuse; all of its memory is released.
+// reader no longer than Limits.StallTimeout, and leaves no connection for reuse; all of its memory is released.
 func TestStreamEndsEarlyOrStalls(t *testing.T) {
 	const size = 100_000
 	for _, c := range []struct {
@@ -99,7 +99,7 @@
 			p := newPool(&fakeDirectory{address: address}, time.Hour)
 			if c.stalls {
 				l := *p.limits.Load()
-				l.Stall = 300 * time.Millisecond
+				l.StallTimeout = 300 * time.Millisecond
 				p.SetLimits(l)
 			}
 			_, done := startAttempt(p, distantDeadline())
