--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -223,7 +223,7 @@
 	defer cancel()
 	go p.clock.Run(ctx.Done())
 	go p.decider.Run(ctx.Done())
-	go p.discovery.Run(ctx, p.decider, p.pool.Sweep)
+	go p.discovery.Run(ctx, p.decider, p.pool.CloseStaleIdle)
 	go p.acceptClients()
 	if p.admin != nil {
 		go p.admin.Serve()
--- a/internal/proxy/upstream/idle.go
+++ b/internal/proxy/upstream/idle.go
@@ -82,8 +82,8 @@
 	return true
 }
 
-// Sweep closes the idle connections of servers that are no longer in service or have another address.
-func (p *Pool) Sweep() {
+// CloseStaleIdle closes the idle connections of servers that are no longer in service or have another address.
+func (p *Pool) CloseStaleIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s, list := range p.idle {
--- a/internal/proxy/upstream/reuse_test.go
+++ b/internal/proxy/upstream/reuse_test.go
@@ -103,7 +103,7 @@
 			io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 		},
 		"too old":   func(_ *Pool, c *conn, _ *connbuffer.Conn) { c.idleSince = time.Now().Add(-2 * time.Hour) },
-		"a sweep":   func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.Sweep(); p.mu.Lock() },
+		"a sweep":   func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.CloseStaleIdle(); p.mu.Lock() },
 		"a reclaim": func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.closeOldestIdle(); p.mu.Lock() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -233,7 +233,7 @@
 	_, done := startAttempt(p, distantDeadline())
 	<-done
 	where.removed.Store(true)
-	p.Sweep()
+	p.CloseStaleIdle()
 	if len(p.idle) != 0 || p.closeOldestIdle() {
 		t.Error("an idle connection stays")
 	}
