--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -48,7 +48,7 @@
 		})
 	}
 	if changed("discovery.address") {
-		p.discovery.Move(p.cfg.Discovery.Address)
+		p.discovery.ChangeAddress(p.cfg.Discovery.Address)
 	}
 	if changed("server[") {
 		p.discovery.Replace(p.cfg.ServerList(time.Now(), p.firstNamed))
--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -4,7 +4,7 @@
 // A Client has one goroutine, Run, which owns what is being followed, and one for each watch: a call that the
 // registry keeps open and on which it sends changes, as Consul's watches do. A watch continues from the index
 // of the list, or begins with a full list where that index means nothing: after a move to another address, or
-// where the registry's index fell. Run alone opens and closes watches; Follow, Move, Replace and Feed only
+// where the registry's index fell. Run alone opens and closes watches; Follow, ChangeAddress, Replace and Feed only
 // leave it a request and return at once. All exported methods but Run may be called from any goroutine, and
 // the list (table) has a lock of its own.
 //
@@ -132,8 +132,8 @@
 	}
 }
 
-// Move follows discovery at another address from now on; it returns at once.
-func (c *Client) Move(address string) { replaceLast(c.addressChanges, address) }
+// ChangeAddress follows discovery at another address from now on; it returns at once.
+func (c *Client) ChangeAddress(address string) { replaceLast(c.addressChanges, address) }
 
 // Replace applies a full list from another source, in discovery's form; it returns at once.
 func (c *Client) Replace(raw []byte) { replaceLast(c.replacements, raw) }
--- a/internal/proxy/discovery/client_test.go
+++ b/internal/proxy/discovery/client_test.go
@@ -150,7 +150,7 @@
 	}
 	list(old, true, 1)
 	fresh.Rejections.Store(2) // failed calls are made again without Follow
-	c.Move(fresh.Address)
+	c.ChangeAddress(fresh.Address)
 	nettest.Until(t, "the new service is asked", func() bool { return fresh.Rejections.Load() < 0 })
 	list(old, false, 2)
 	list(fresh, true, 3)
@@ -162,7 +162,7 @@
 	if _, _, err := c.apply(&watch{number: 1}, []byte(nettest.List(true, "in_service", nil))); err == nil {
 		t.Error("a watch that was left is still heard")
 	}
-	c.Move(fresh.Address) // a no-op
+	c.ChangeAddress(fresh.Address) // a no-op
 	list(fresh, false, 2)
 	if n := len(s.failed); n > 0 || fresh.Watches.Load() != 1 {
 		t.Errorf("%d times told as failed, %d watches", n, fresh.Watches.Load())
