--- a/internal/proxy/daemon/admin.go
+++ b/internal/proxy/daemon/admin.go
@@ -26,7 +26,7 @@
 		return false, "sending clients away"
 	case !p.handover.serving.Load():
 		return false, "not taking clients yet"
-	case p.discovery.Listed() == 0:
+	case p.discovery.NumListed() == 0:
 		return false, "no list of servers yet"
 	}
 	return true, ""
@@ -41,8 +41,8 @@
 // Gauges returns the present values of gauges, by name. A draining server is listed and gets no requests, so
 // it counts as skipped.
 func (p *Proxy) Gauges() map[string]int {
-	known := p.discovery.Listed()
+	known := p.discovery.NumListed()
 	return map[string]int{
-		"known_zone_servers": known, "skipped_zone_servers": known - p.discovery.InService() + p.decider.Ejected(),
+		"known_zone_servers": known, "skipped_zone_servers": known - p.discovery.NumInService() + p.decider.Ejected(),
 	}
 }
--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -151,7 +151,9 @@
 }
 
 // listReceived reports whether discovery has sent a list since the start.
-func (p *Proxy) listReceived() bool { return p.stats.ListsRead.Load() > 0 && p.discovery.Listed() > 0 }
+func (p *Proxy) listReceived() bool {
+	return p.stats.ListsRead.Load() > 0 && p.discovery.NumListed() > 0
+}
 
 // waitForPredecessorExit takes over the predecessor's half of the limits once it has exited.
 func (p *Proxy) waitForPredecessorExit() {
--- a/internal/proxy/discovery/client_test.go
+++ b/internal/proxy/discovery/client_test.go
@@ -191,7 +191,7 @@
 	next := newClient("")
 	list, err := next.Restore(doc)
 	if err != nil || len(list) != 1 || list[0].State != balance.Draining || next.index != 7 ||
-		next.Listed() != 1 || next.InService() != 0 {
+		next.NumListed() != 1 || next.NumInService() != 0 {
 		t.Errorf("%s: %+v, %v, version %d", doc, list, err, next.index)
 	}
 }
--- a/internal/proxy/discovery/table.go
+++ b/internal/proxy/discovery/table.go
@@ -90,15 +90,15 @@
 	return t.index
 }
 
-// Listed is the number of servers in the list, those that drain included.
-func (t *table) Listed() int {
+// NumListed is the number of servers in the list, those that drain included.
+func (t *table) NumListed() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.idByName)
 }
 
-// InService is the number of servers in service.
-func (t *table) InService() int {
+// NumInService is the number of servers in service.
+func (t *table) NumInService() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.addresses)
--- a/internal/proxy/discovery/watch_test.go
+++ b/internal/proxy/discovery/watch_test.go
@@ -134,7 +134,7 @@
 			}), Limits{WatchTimeout: nettest.Patience})
 			c.Follow()
 			<-s.failed
-			got := []int{c.Listed(), c.InService(), len(s.listed), int(c.Index()) - 7}
+			got := []int{c.NumListed(), c.NumInService(), len(s.listed), int(c.Index()) - 7}
 			if diff := cmp.Diff([]int{in.held, in.held, in.held, in.held}, got); diff != "" {
 				t.Errorf("held, in service, told, version: %s", diff)
 			}
@@ -284,7 +284,7 @@
 			t.Fatalf("nothing more after %d tries", len(tries))
 		}
 	}
-	if c.InService() != 0 {
+	if c.NumInService() != 0 {
 		t.Error("what drains is in service")
 	}
 }
@@ -316,8 +316,8 @@
 		if diff := cmp.Diff([]string{"true 1", "false 1", "true 1", "false 1"}, got); diff != "" {
 			t.Error(diff)
 		}
-		if c.Listed() != 2 || c.Index() != 5 || len(s.failed) > 0 { // a, which the new count does not know, is gone
-			t.Errorf("%d held at version %d", c.Listed(), c.Index())
+		if c.NumListed() != 2 || c.Index() != 5 || len(s.failed) > 0 { // a, which the new count does not know, is gone
+			t.Errorf("%d held at version %d", c.NumListed(), c.Index())
 		}
 	}
 }
@@ -348,8 +348,8 @@
 			t.Errorf("list %d: %s", i, got)
 		}
 	}
-	if len(s.failed) > 0 || c.Listed() != 2 {
-		t.Errorf("told as failed %d times, %d held", len(s.failed), c.Listed())
+	if len(s.failed) > 0 || c.NumListed() != 2 {
+		t.Errorf("told as failed %d times, %d held", len(s.failed), c.NumListed())
 	}
 }
 
