--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -169,22 +169,22 @@
 // SuccessorJoined returns the listening socket and the list of servers for a process that takes over.
 // While this process's own predecessor still runs a successor has to wait, since the limits are for two
 // processes at a time. It waits for less than handover.wait, after which it would give up.
-func (p *Proxy) SuccessorJoined() (handover.Terms, syscall.Conn, error) {
+func (p *Proxy) SuccessorJoined() (handover.State, syscall.Conn, error) {
 	select {
 	case <-p.handover.predecessorExited:
 	case <-time.After(p.startConfig.Handover.JoinTimeout / 4 * 3):
 	}
 	socket, ok := p.listener.(syscall.Conn)
 	if !ok {
-		return handover.Terms{}, nil, errors.New("the listener has no socket")
+		return handover.State{}, nil, errors.New("the listener has no socket")
 	}
 	known, err := p.discovery.Export()
 	if err != nil {
-		return handover.Terms{}, nil, err
+		return handover.State{}, nil, err
 	}
 	p.log.Info("handover: new process takes over")
 	p.countSuccessors(+1)
-	return handover.Terms{Known: known, Discovery: p.discovery.Origin()}, socket, nil
+	return handover.State{Known: known, Discovery: p.discovery.Origin()}, socket, nil
 }
 
 // SuccessorReady records that a successor accepts clients, so that a shutdown doesn't accept any more.
--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -45,12 +45,12 @@
 
 // goldenIncumbent hands over a socket that nobody connects to.
 type goldenIncumbent struct {
-	terms         Terms
+	terms         State
 	l             *net.UnixListener
 	ready, exited chan struct{}
 }
 
-func (o *goldenIncumbent) SuccessorJoined() (Terms, syscall.Conn, error) { return o.terms, o.l, nil }
+func (o *goldenIncumbent) SuccessorJoined() (State, syscall.Conn, error) { return o.terms, o.l, nil }
 func (o *goldenIncumbent) SuccessorReady()                               { close(o.ready) }
 func (o *goldenIncumbent) SuccessorExited()                              { close(o.exited) }
 
@@ -67,7 +67,7 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	return &goldenIncumbent{l: l, ready: make(chan struct{}), exited: make(chan struct{}),
-		terms: Terms{Known: []byte(`{"index":7}`), Discovery: "discovery.example:9"}}
+		terms: State{Known: []byte(`{"index":7}`), Discovery: "discovery.example:9"}}
 }
 
 // What the incumbent sends, and the one byte that the successor sends. The socket comes as a descriptor,
@@ -122,11 +122,11 @@
 		t.Fatal(err)
 	}
 	o := &Predecessor{conn: pair[1], exited: make(chan struct{})}
-	if err := o.receiveTerms(); err != nil {
+	if err := o.receiveState(); err != nil {
 		t.Fatal(err)
 	}
 	defer o.Listener.Close()
-	goldenfile.CheckDecoded(t, "old.bin", o.Terms, s.terms)
+	goldenfile.CheckDecoded(t, "old.bin", o.State, s.terms)
 	if err := o.SendReady(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/handover/handover.go
+++ b/internal/proxy/handover/handover.go
@@ -28,15 +28,15 @@
 )
 
 const (
-	maxTerms        = 64 << 20        // bytes of the Terms, of which the list of servers is the largest part
+	maxStateBytes   = 64 << 20        // bytes of the Terms, of which the list of servers is the largest part
 	writeTimeout    = 2 * time.Second // for one message to the other process
 	readyByte       = 'R'             // the successor accepts clients
 	maxUnixPath     = 100             // bytes; a longer path doesn't fit into a Unix address
 	descriptorBytes = 4               // size of one file descriptor in a control message
 )
 
-// Terms are what the incumbent tells its successor.
-type Terms struct {
+// State are what the incumbent tells its successor.
+type State struct {
 	// Known is the incumbent's list of servers, in the form of package serverlist.
 	Known json.RawMessage `json:"known,omitempty"`
 	// Discovery is the address of the discovery service that the list comes from.
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -19,8 +19,8 @@
 	ready, exited chan bool
 }
 
-func (s *fakeIncumbent) SuccessorJoined() (Terms, syscall.Conn, error) {
-	return Terms{Known: []byte(`{"index":7}`)}, s.l, nil
+func (s *fakeIncumbent) SuccessorJoined() (State, syscall.Conn, error) {
+	return State{Known: []byte(`{"index":7}`)}, s.l, nil
 }
 func (s *fakeIncumbent) SuccessorReady()  { s.ready <- true }
 func (s *fakeIncumbent) SuccessorExited() { s.exited <- true }
--- a/internal/proxy/handover/incumbent.go
+++ b/internal/proxy/handover/incumbent.go
@@ -18,7 +18,7 @@
 // goroutine for each successor.
 type Incumbent interface {
 	// SuccessorJoined returns the terms and the listening socket for a process that has connected; it may wait.
-	SuccessorJoined() (Terms, syscall.Conn, error)
+	SuccessorJoined() (State, syscall.Conn, error)
 	// SuccessorReady is called when that process accepts clients.
 	SuccessorReady()
 	// SuccessorExited is called when its connection has ended; it follows each SuccessorJoined without error.
@@ -91,7 +91,7 @@
 		return
 	}
 	defer incumbent.SuccessorExited()
-	if sendTerms(c, terms, socket) != nil {
+	if sendState(c, terms, socket) != nil {
 		return
 	}
 	var message [1]byte
@@ -101,8 +101,8 @@
 	}
 }
 
-// sendTerms writes the terms, with the socket as a control message of their first byte.
-func sendTerms(c *net.UnixConn, terms Terms, socket syscall.Conn) error {
+// sendState writes the terms, with the socket as a control message of their first byte.
+func sendState(c *net.UnixConn, terms State, socket syscall.Conn) error {
 	text, err := json.Marshal(terms)
 	if err != nil {
 		return err
--- a/internal/proxy/handover/successor.go
+++ b/internal/proxy/handover/successor.go
@@ -16,7 +16,7 @@
 
 // Predecessor is, to a successor, the process that has served the address so far.
 type Predecessor struct {
-	Terms
+	State
 	Listener net.Listener // the predecessor's own socket, shared
 	conn     *net.UnixConn
 	exited   chan struct{} // closed when conn has ended
@@ -45,7 +45,7 @@
 	}
 	p := &Predecessor{conn: conn.(*net.UnixConn), exited: make(chan struct{})}
 	conn.SetDeadline(time.Now().Add(timeout))
-	if err := p.receiveTerms(); err != nil {
+	if err := p.receiveState(); err != nil {
 		conn.Close()
 		return nil, err
 	}
@@ -57,8 +57,8 @@
 	return p, nil
 }
 
-// receiveTerms reads the terms and the socket that comes with their first byte.
-func (p *Predecessor) receiveTerms() error {
+// receiveState reads the terms and the socket that comes with their first byte.
+func (p *Predecessor) receiveState() error {
 	if err := checkPeerUser(p.conn); err != nil {
 		return err
 	}
@@ -77,14 +77,14 @@
 		return err
 	}
 	length := binary.BigEndian.Uint32(size[:])
-	if length > maxTerms {
+	if length > maxStateBytes {
 		return fmt.Errorf("terms of %d bytes", length)
 	}
 	text := make([]byte, length)
 	if _, err := io.ReadFull(p.conn, text); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(text, &p.Terms); err != nil {
+	if err := json.Unmarshal(text, &p.State); err != nil {
 		return err
 	}
 	p.Listener, err = net.FileListener(file)
