--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -173,11 +173,11 @@
 // predecessor's list, which is newer than the platform's, else the platform's; nil if there is none.
 func (p *Proxy) firstList() json.RawMessage {
 	known := p.cfg.KnownServers
-	if old := p.handover.predecessor; old != nil && len(old.Known) > 0 {
-		if old.Discovery == p.cfg.Discovery.Address {
-			known = old.Known
+	if old := p.handover.predecessor; old != nil && len(old.ServerList) > 0 {
+		if old.DiscoveryAddress == p.cfg.Discovery.Address {
+			known = old.ServerList
 		} else { // other servers, and indexes that can't be compared with this discovery's
-			p.log.Warn("handover: list of the old process ignored", "discovery", old.Discovery)
+			p.log.Warn("handover: list of the old process ignored", "discovery", old.DiscoveryAddress)
 		}
 	}
 	if list := p.cfg.ServerList(time.Time{}, p.firstNamed); list != nil {
--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -184,7 +184,7 @@
 	}
 	p.log.Info("handover: new process takes over")
 	p.countSuccessors(+1)
-	return handover.State{Known: known, Discovery: p.discovery.Origin()}, socket, nil
+	return handover.State{ServerList: known, DiscoveryAddress: p.discovery.Origin()}, socket, nil
 }
 
 // SuccessorReady records that a successor accepts clients, so that a shutdown doesn't accept any more.
--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -67,7 +67,7 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	return &goldenIncumbent{l: l, ready: make(chan struct{}), exited: make(chan struct{}),
-		terms: State{Known: []byte(`{"index":7}`), Discovery: "discovery.example:9"}}
+		terms: State{ServerList: []byte(`{"index":7}`), DiscoveryAddress: "discovery.example:9"}}
 }
 
 // What the incumbent sends, and the one byte that the successor sends. The socket comes as a descriptor,
--- a/internal/proxy/handover/handover.go
+++ b/internal/proxy/handover/handover.go
@@ -37,10 +37,10 @@
 
 // State are what the incumbent tells its successor.
 type State struct {
-	// Known is the incumbent's list of servers, in the form of package serverlist.
-	Known json.RawMessage `json:"known,omitempty"`
-	// Discovery is the address of the discovery service that the list comes from.
-	Discovery string `json:"discovery,omitempty"`
+	// ServerList is the incumbent's list of servers, in the form of package serverlist.
+	ServerList json.RawMessage `json:"known,omitempty"`
+	// DiscoveryAddress is the address of the discovery service that the list comes from.
+	DiscoveryAddress string `json:"discovery,omitempty"`
 }
 
 // Path is the Unix socket of the process that serves an address, in a directory that both processes see.
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -20,7 +20,7 @@
 }
 
 func (s *fakeIncumbent) SuccessorJoined() (State, syscall.Conn, error) {
-	return State{Known: []byte(`{"index":7}`)}, s.l, nil
+	return State{ServerList: []byte(`{"index":7}`)}, s.l, nil
 }
 func (s *fakeIncumbent) SuccessorReady()  { s.ready <- true }
 func (s *fakeIncumbent) SuccessorExited() { s.exited <- true }
@@ -79,8 +79,8 @@
 		path := Path(dir, "127.0.0.1:1")
 		s := offer(t, path)
 		o := join(t, path)
-		if o.Listener.Addr().String() != s.l.Addr().String() || string(o.Known) != `{"index":7}` {
-			t.Errorf("%v, %s", o.Listener.Addr(), o.Known)
+		if o.Listener.Addr().String() != s.l.Addr().String() || string(o.ServerList) != `{"index":7}` {
+			t.Errorf("%v, %s", o.Listener.Addr(), o.ServerList)
 		}
 		early, err := net.Dial("tcp", s.l.Addr().String())
 		if err != nil {
