--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -19,7 +19,7 @@
 	socketPath        string                // of the Unix socket; "" without handover
 	predecessor       *handover.Predecessor // nil where no process served the address
 	predecessorExited chan struct{}         // closed once there is no predecessor, or none any more
-	offer             atomic.Pointer[handover.Offer]
+	offer             atomic.Pointer[handover.SuccessorListener]
 	serving           atomic.Bool // this process accepts clients
 	successorServing  atomic.Bool // a successor accepts them too
 
--- a/internal/proxy/handover/handover.go
+++ b/internal/proxy/handover/handover.go
@@ -2,7 +2,7 @@
 // connection is lost. The old process (the incumbent) passes its listening socket to the new one (the
 // successor) over a Unix socket; both then accept from one queue until the old process ends.
 //
-// The incumbent listens at Path in a directory that both processes see: Listen and Offer.Serve. The successor
+// The incumbent listens at Path in a directory that both processes see: Listen and SuccessorListener.Serve. The successor
 // connects with Join. On that connection
 //
 //   - the incumbent sends its Terms: their length as 4 bytes, most significant first, and the Terms as JSON;
--- a/internal/proxy/handover/incumbent.go
+++ b/internal/proxy/handover/incumbent.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Incumbent is the process that serves the address, as an Offer sees it. Its methods are called from one
+// Incumbent is the process that serves the address, as a SuccessorListener sees it. Its methods are called from one
 // goroutine for each successor.
 type Incumbent interface {
 	// SuccessorJoined returns the terms and the listening socket for a process that has connected; it may wait.
@@ -25,15 +25,15 @@
 	SuccessorExited()
 }
 
-// Offer is the Unix socket by which successors find this process.
-type Offer struct {
+// SuccessorListener is the Unix socket by which successors find this process.
+type SuccessorListener struct {
 	listener   *net.UnixListener
 	path       string
 	socketFile os.FileInfo // of the socket that this process made at path
 }
 
 // Listen makes this process the one that successors find at path, in place of any other process.
-func Listen(path string) (*Offer, error) {
+func Listen(path string) (*SuccessorListener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
@@ -56,12 +56,12 @@
 	if err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
-	return &Offer{l, path, socketFile}, nil
+	return &SuccessorListener{l, path, socketFile}, nil
 }
 
 // Close ends Serve and removes the socket's file, unless a successor has replaced it by its own. Errors are
 // ignored: a file that stays refuses connections, which Join takes for no process.
-func (o *Offer) Close() {
+func (o *SuccessorListener) Close() {
 	_ = o.listener.Close()
 	if file, err := os.Lstat(o.path); err == nil && os.SameFile(file, o.socketFile) {
 		_ = os.Remove(o.path)
@@ -69,7 +69,7 @@
 }
 
 // Serve accepts successors until Close.
-func (o *Offer) Serve(incumbent Incumbent) {
+func (o *SuccessorListener) Serve(incumbent Incumbent) {
 	for {
 		c, err := o.listener.AcceptUnix()
 		if err != nil {
