--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -43,7 +43,7 @@
 	if dir != "" {
 		control = handover.ReusePort
 		var err error
-		state.predecessor, err = handover.Join(handover.Path(dir, p.startConfig.Listen.Address),
+		state.predecessor, err = handover.Join(handover.SocketPath(dir, p.startConfig.Listen.Address),
 			p.startConfig.Handover.JoinTimeout)
 		if err != nil {
 			p.log.Warn("handover: failed, listening beside the old process", logging.Err, err)
@@ -53,7 +53,7 @@
 		p.log.Info("handover: taking over from an old process",
 			"listen", state.predecessor.Listener.Addr().String())
 		p.listener = state.predecessor.Listener
-		state.socketPath = handover.Path(dir, p.Address())
+		state.socketPath = handover.SocketPath(dir, p.Address())
 		p.applyLimits()
 		return nil
 	}
@@ -64,7 +64,7 @@
 		return fmt.Errorf("listen.address: %w", err)
 	}
 	if dir != "" {
-		state.socketPath = handover.Path(dir, p.Address()) // with the port that the system has chosen for port 0
+		state.socketPath = handover.SocketPath(dir, p.Address()) // with the port that the system has chosen for port 0
 	}
 	return nil
 }
--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -153,5 +153,5 @@
 
 // Where both processes meet: a file's name by the address.
 func TestGoldenPathIsTheSameForAnAddress(t *testing.T) {
-	goldenfile.CheckBytes(t, "path.txt", []byte(Path("run", "127.0.0.1:8080")))
+	goldenfile.CheckBytes(t, "path.txt", []byte(SocketPath("run", "127.0.0.1:8080")))
 }
--- a/internal/proxy/handover/handover.go
+++ b/internal/proxy/handover/handover.go
@@ -2,7 +2,7 @@
 // connection is lost. The old process (the incumbent) passes its listening socket to the new one (the
 // successor) over a Unix socket; both then accept from one queue until the old process ends.
 //
-// The incumbent listens at Path in a directory that both processes see: Listen and SuccessorListener.Serve. The successor
+// The incumbent listens at SocketPath in a directory that both processes see: Listen and SuccessorListener.Serve. The successor
 // connects with Join. On that connection
 //
 //   - the incumbent sends its Terms: their length as 4 bytes, most significant first, and the Terms as JSON;
@@ -43,8 +43,8 @@
 	DiscoveryAddress string `json:"discovery,omitempty"`
 }
 
-// Path is the Unix socket of the process that serves an address, in a directory that both processes see.
-func Path(dir, address string) string {
+// SocketPath is the Unix socket of the process that serves an address, in a directory that both processes see.
+func SocketPath(dir, address string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(address)) // a hash takes everything
 	return filepath.Join(dir, "cresshub-"+strconv.FormatUint(h.Sum64(), 36)+".sock")
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -76,7 +76,7 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		path := Path(dir, "127.0.0.1:1")
+		path := SocketPath(dir, "127.0.0.1:1")
 		s := offer(t, path)
 		o := join(t, path)
 		if o.Listener.Addr().String() != s.l.Addr().String() || string(o.ServerList) != `{"index":7}` {
@@ -101,7 +101,7 @@
 }
 
 func TestBothSidesSeeTheConnectionEnd(t *testing.T) {
-	path := Path(t.TempDir(), "a")
+	path := SocketPath(t.TempDir(), "a")
 	s := offer(t, path)
 	o := join(t, path)
 	o.conn.CloseWrite() // as the exit of this process looks to the incumbent, which then closes
@@ -113,7 +113,7 @@
 // successor that exits after it was ready leaves the incumbent for the next one.
 func TestEitherSideMayBeKilledAtAnyPoint(t *testing.T) {
 	for _, sent := range []int{0, 2, 4, 9} { // of the size and the terms, the socket with the first byte
-		path := Path(t.TempDir(), "a")
+		path := SocketPath(t.TempDir(), "a")
 		o, err := Listen(path)
 		if err != nil {
 			t.Fatal(err)
@@ -138,7 +138,7 @@
 		}
 		o.Close()
 	}
-	path := Path(t.TempDir(), "b")
+	path := SocketPath(t.TempDir(), "b")
 	s := offer(t, path)
 	for range 2 {
 		o := join(t, path)
@@ -153,7 +153,7 @@
 }
 
 func TestSocketFileOfAKilledProcessCountsAsNone(t *testing.T) {
-	path := Path(t.TempDir(), "a")
+	path := SocketPath(t.TempDir(), "a")
 	if o, err := Join(path, testTimeout); o != nil || err != nil {
 		t.Errorf("nothing there: %v, %v", o, err)
 	}
@@ -177,7 +177,7 @@
 }
 
 func TestJoinGivesUpOnASilentIncumbent(t *testing.T) {
-	path := Path(t.TempDir(), "a")
+	path := SocketPath(t.TempDir(), "a")
 	o, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
@@ -189,7 +189,7 @@
 }
 
 func TestFileThatIsNoSocketCountsAsNone(t *testing.T) {
-	path := Path(t.TempDir(), "a")
+	path := SocketPath(t.TempDir(), "a")
 	if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -205,7 +205,7 @@
 func TestConnectionsInTheSharedQueueSurvive(t *testing.T) {
 	const waiting = 64 // each falls into either queue by chance
 	for _, passed := range []bool{true, false} {
-		path := Path(t.TempDir(), "a")
+		path := SocketPath(t.TempDir(), "a")
 		old := offer(t, path).l
 		next := net.Listener(nil)
 		if passed {
