--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -14,18 +14,18 @@
 	"cresshub/internal/stallclock"
 )
 
-// conn is one connection to a server. Its goroutine is run.
+// conn is one connection to a server. Its goroutine runs the method run.
 type conn struct {
 	pool      *Pool
 	server    dispatch.ServerID
 	address   string
 	netConn   *connbuffer.Conn
-	deadlines *stallclock.Conn // below netConn
+	deadlines *stallclock.Conn // the layer below netConn that enforces its deadlines
 	closeOnce sync.Once
 
-	// The pool's lock guards these while the connection is idle.
+	// Pool.mu guards these fields while the connection is idle.
 	idleSince    time.Time
-	next         *Attempt // handed over by reuseIdle
+	next         *Attempt // set by reuseIdle; nil if there is none
 	lastWasProbe bool     // the last exchange was a probe
 }
 
@@ -37,7 +37,8 @@
 	})
 }
 
-// run is the connection's goroutine; first is the attempt that it is opened for.
+// run is the connection's goroutine. It dials and runs the attempt first, for which the connection is opened,
+// then the attempts that reuseIdle passes to it, until the connection closes.
 func (c *conn) run(first *Attempt) {
 	if result, ok := c.dial(first); !ok {
 		first.Done(Outcome{Result: result})
@@ -45,7 +46,7 @@
 	}
 	defer c.close()
 	for a := first; ; {
-		if !c.serve(a) {
+		if !c.runAttempt(a) {
 			return
 		}
 		var usable bool
@@ -53,8 +54,8 @@
 			return
 		}
 		if !usable {
-			// It closed just as the attempt was handed over. None of the attempt was written, so on another
-			// connection it is sent for the first time.
+			// The connection became unusable just as the attempt was passed to it. None of the attempt's bytes
+			// has been written, so sending it on another connection does not repeat it.
 			c.close()
 			go (&conn{pool: c.pool, server: c.server, address: c.address}).run(a)
 			return
@@ -62,10 +63,11 @@
 	}
 }
 
-// serve runs one attempt to its end and parks the connection as idle again; false if it is closed instead. A
-// connection whose response was read is parked before Done is called, so that what the caller starts then
-// finds it; one whose response streams is parked once the stream was read to its end.
-func (c *conn) serve(a *Attempt) bool {
+// runAttempt runs one attempt to its end. It returns true if the connection is in the idle list afterwards
+// and false if it has been closed. If the whole response has been read, the connection becomes idle before
+// Done is called, so that attempts started by Done can reuse it. If the response is streamed, the connection
+// becomes idle once the stream has been read to its end.
+func (c *conn) runAttempt(a *Attempt) bool {
 	c.lastWasProbe = a.probe
 	outcome, reusable := c.exchange(a)
 	switch {
@@ -75,9 +77,9 @@
 			c.close()
 			return false
 		}
-		c.pool.park(c)
+		c.pool.addIdle(c)
 	case reusable:
-		c.pool.park(c)
+		c.pool.addIdle(c)
 		a.Done(outcome)
 	default:
 		c.close()
@@ -87,9 +89,9 @@
 	return true
 }
 
-// awaitAttempt waits in Read until the next attempt is handed over. It returns nil if the connection was
-// closed or has been idle for too long, and usable false if that is so but an attempt was handed over all
-// the same.
+// awaitAttempt waits, reading from the connection, until reuseIdle passes it the next attempt. It returns nil
+// if the connection was closed or idle for longer than Limits.MaxIdle. usable is false if an attempt was
+// passed although the connection must not be used any more.
 func (c *conn) awaitAttempt() (a *Attempt, usable bool) {
 	p := c.pool
 	p.mu.Lock()
@@ -102,30 +104,30 @@
 	defer p.mu.Unlock()
 	a, c.next = c.next, nil
 	p.removeIdle(c)
-	// The deadline that wakes this goroutine also ends Read when there are unread bytes in the kernel's
-	// buffer: a duplicate response, garbage, or the end of the connection. The next request must not get
-	// them for its response. And MaxIdle may have passed since reuseIdle, if this goroutine was scheduled
-	// late.
+	// The past deadline by which reuseIdle wakes this goroutine ends the read even if there are unread bytes in
+	// the kernel's buffer: a duplicate response, garbage, or the end of the connection. They must not be taken
+	// for the response to the next request. And MaxIdle may have passed since reuseIdle checked it, if this
+	// goroutine was scheduled late.
 	return a, errors.Is(err, os.ErrDeadlineExceeded) &&
 		(a == nil || c.netConn.Quiet() && time.Since(c.idleSince) <= p.limits.Load().MaxIdle)
 }
 
-var dialer = net.Dialer{KeepAlive: -1} // every exchange has a deadline of its own
+var dialer = net.Dialer{KeepAlive: -1} // no keep-alive packets: every exchange has a deadline of its own
 
-// dial opens the connection, for which the attempt's own times and Limits.DialTimeout are the bounds. If it returns
-// false the attempt never ran, and ends with the result.
+// dial opens the connection within Limits.DialTimeout and before the attempt's Deadline and StartBy. If it
+// returns false, nothing has been sent and the attempt ends with the returned result.
 func (c *conn) dial(a *Attempt) (dispatch.Result, bool) {
 	if !c.pool.budget.Acquire(descriptors.Servers) {
 		return dispatch.Skipped, false
 	}
 	deadline := time.Now().Add(c.pool.limits.Load().DialTimeout)
-	latest := a.Deadline
-	if !a.StartBy.IsZero() && a.StartBy.Before(latest) {
-		latest = a.StartBy
+	attemptDeadline := a.Deadline
+	if !a.StartBy.IsZero() && a.StartBy.Before(attemptDeadline) {
+		attemptDeadline = a.StartBy
 	}
-	boundByAttempt := latest.Before(deadline)
+	boundByAttempt := attemptDeadline.Before(deadline)
 	if boundByAttempt {
-		deadline = latest
+		deadline = attemptDeadline
 	}
 	ctx, cancel := c.dialContext(a.ctx, deadline, boundByAttempt)
 	defer cancel()
@@ -141,13 +143,13 @@
 	case a.ctx.Err() != nil:
 		return dispatch.Cancelled, false
 	case boundByAttempt && ctx.Err() != nil:
-		return dispatch.Skipped, false // the attempt's time was over before the server had its full time
+		return dispatch.Skipped, false // the attempt's time ran out before DialTimeout: no fault of the server
 	}
 	return dispatch.NoConnection, false
 }
 
-// dialContext ends when the connection counts as failed that is not open yet: at a deadline of the attempt,
-// or once this process has run until Limits.DialTimeout is over.
+// dialContext returns a context that ends when dialling must stop: at the deadline if the attempt sets it,
+// otherwise at the deadline extended by the time in which this process was stalled.
 func (c *conn) dialContext(parent context.Context, deadline time.Time, boundByAttempt bool) (context.Context,
 	context.CancelFunc) {
 	if boundByAttempt {
--- a/internal/proxy/upstream/exchange.go
+++ b/internal/proxy/upstream/exchange.go
@@ -11,15 +11,15 @@
 	"cresshub/internal/stallclock"
 )
 
-// exchange sends one request and reads its response, or the beginning of a large one. reusable reports
-// whether the connection may be used again once all of the response is read.
+// exchange sends one request and reads its response, or the buffered part of one that is streamed. reusable
+// reports whether the connection may be used again once the whole response has been read.
 func (c *conn) exchange(a *Attempt) (outcome Outcome, reusable bool) {
-	if result, stillUsable := c.begin(a); result != dispatch.Served {
+	if result, stillUsable := c.markStarted(a); result != dispatch.Served {
 		return Outcome{Result: result}, stillUsable
 	}
-	stopClosing := context.AfterFunc(a.ctx, func() { c.netConn.Close() })
-	if result := c.send(a); result != dispatch.Served { // the last byte was not written, so it never ran
-		stopClosing()
+	stopCloseOnCancel := context.AfterFunc(a.ctx, func() { c.netConn.Close() })
+	if result := c.send(a); result != dispatch.Served { // not written to its last byte, so it never ran
+		stopCloseOnCancel()
 		return Outcome{Result: result}, false
 	}
 	if !a.probe {
@@ -30,19 +30,21 @@
 	if err == nil {
 		outcome.reserved, streaming, err = c.bufferResponse(a, response, body)
 	}
-	uninterrupted := stopClosing()
+	notCancelled := stopCloseOnCancel()
 	if err != nil {
 		c.pool.Release(&outcome)
-		result := a.receiveFailure(err)
-		return Outcome{Result: result, ProcessStalled: result == dispatch.TimedOut && !c.deadlines.TimedOut()}, false
+		result := a.receiveErrorResult(err)
+		return Outcome{
+			Result: result, ProcessStalled: result == dispatch.TimedOut && !c.deadlines.TimedOut(),
+		}, false
 	}
 	outcome.Result, outcome.Response = a.classify(response), response
 	outcome.Load = c.pool.reportFormat.parse(response, a.probe)
-	reusable = uninterrupted && !response.Close
+	reusable = notCancelled && !response.Close
 	if !streaming {
 		return outcome, reusable && body.Complete() && !c.netConn.HasBuffered()
 	}
-	if !uninterrupted {
+	if !notCancelled {
 		c.pool.Release(&outcome)
 		return Outcome{Result: dispatch.Cancelled}, false
 	}
@@ -51,10 +53,11 @@
 	return outcome, reusable
 }
 
-// begin marks the attempt as started and returns Served, or the result of an attempt that must not start any
-// more, and whether the connection may still be used. The list is looked at again, as it may have changed
-// while the attempt was dialling or waiting: none may begin at a server that drains.
-func (c *conn) begin(a *Attempt) (result dispatch.Result, reusable bool) {
+// markStarted marks the attempt as started and returns Served, or returns the result of an attempt that must
+// not start any more, and whether the connection may still be used. It looks the server up again, because the
+// list may have changed while the attempt was dialling or waiting, and no attempt may start at a server that
+// is draining.
+func (c *conn) markStarted(a *Attempt) (result dispatch.Result, reusable bool) {
 	address, listed := c.pool.directory.Address(a.Server)
 	switch {
 	case a.ctx.Err() != nil:
@@ -69,8 +72,8 @@
 	return dispatch.Served, true
 }
 
-// send writes the attempt's request. It returns Served once the last byte is written, else how the attempt
-// ended.
+// send writes the attempt's request. It returns Served once the last byte is written, otherwise the result of
+// the attempt.
 func (c *conn) send(a *Attempt) dispatch.Result {
 	if a.Upload != nil {
 		return c.sendUpload(a)
@@ -81,7 +84,7 @@
 		err = c.netConn.Flush()
 	}
 	if err != nil {
-		return a.resultOr(dispatch.NoConnection)
+		return a.cancelledOr(dispatch.NoConnection)
 	}
 	return dispatch.Served
 }
@@ -91,26 +94,26 @@
 	c.netConn.SetDeadline(time.Now().Add(c.pool.limits.Load().StallTimeout))
 	w, err := a.message(c.address).Begin(c.netConn.Out)
 	if err == nil {
-		err = c.netConn.Flush() // before anything is read of the body, which no other attempt could have then
+		err = c.netConn.Flush() // must succeed before the body is claimed, which rules out other attempts
 	}
 	if err != nil {
-		return a.resultOr(dispatch.NoConnection)
+		return a.cancelledOr(dispatch.NoConnection)
 	}
-	if err := c.upload(a, w); err != nil {
-		// The client stopped, or the server did not accept the body. Neither may count as an unreachable server,
-		// or a faulty client could have servers ejected.
-		return a.resultOr(dispatch.Skipped)
+	if err := c.copyUpload(a, w); err != nil {
+		// The client stopped sending, or the server did not accept the body. Neither may count as a failed
+		// connection to the server, or a faulty client could have servers ejected.
+		return a.cancelledOr(dispatch.Skipped)
 	}
 	if c.netConn.Flush() != nil {
-		return a.resultOr(dispatch.NoConnection)
+		return a.cancelledOr(dispatch.NoConnection)
 	}
 	a.Deadline = a.Upload.MarkSent()
 	c.setDeadline(a)
 	return dispatch.Served
 }
 
-// setDeadline has the exchange end when the attempt gives up. A probe waits longer by the time in which this
-// process does not run; an attempt's client does not.
+// setDeadline ends the exchange at the attempt's Deadline. For a probe the deadline is extended by the time
+// in which this process is stalled; for an attempt it is not, because the client does not wait longer.
 func (c *conn) setDeadline(a *Attempt) {
 	d := stallclock.Deadline{From: time.Now(), At: a.Deadline}
 	if !a.probe {
@@ -122,8 +125,9 @@
 
 var errBodyClaimed = errors.New("another attempt has the body")
 
-// upload writes the part of a body that is not buffered, at the pace of the slower side.
-func (c *conn) upload(a *Attempt, w http1.BodyWriter) error {
+// copyUpload copies the unbuffered part of the request's body from the client to the server, at the pace of
+// the slower of the two.
+func (c *conn) copyUpload(a *Attempt, w http1.BodyWriter) error {
 	buffer, release := c.pool.bodies.Buffer()
 	defer release()
 	if !a.Upload.Claim() {
--- a/internal/proxy/upstream/loadreport.go
+++ b/internal/proxy/upstream/loadreport.go
@@ -8,15 +8,16 @@
 	"cresshub/internal/http1"
 )
 
-// reportFormat is the order of the values of a load report, whose text is "name=value,...".
+// reportFormat maps the names of a load report's values to their positions. A report's text has the form
+// "name=value,...".
 type reportFormat struct {
-	index map[string]int // position by name, synonyms included
-	size  int            // number of values
+	index map[string]int // position of a value by its name or synonym
+	size  int            // number of values in a report
 }
 
-// loadSynonyms are the names that some servers use, by the settings' names, which other servers use. Both are
-// read: a report that isn't understood counts as none, and without reports the balancer overloads servers
-// although every request is still answered.
+// loadSynonyms maps the names of the settings to the names that some servers use instead; other servers use
+// those of the settings. Both are accepted, because a report that can't be parsed counts as missing, and
+// without reports the balancer overloads servers although every request is still answered.
 var loadSynonyms = map[string]string{
 	"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms", "rps": "qps",
 	"err_rps": "eps",
@@ -33,8 +34,9 @@
 	return f
 }
 
-// parse returns the report's values in the order of the settings, or nil if one is missing or no finite
-// number. A probe's response may have the report as its body, any other has it in a header.
+// parse returns the report's values in the order of the settings, or nil if one is missing or is not a finite
+// number. The report is in the header X-Server-Load; a probe's response without it has the report as its
+// body.
 func (f reportFormat) parse(response *http1.Response, probe bool) []float64 {
 	text := response.Header.Get("X-Server-Load")
 	if probe && text == "" {
@@ -44,7 +46,7 @@
 		return nil
 	}
 	values := make([]float64, f.size)
-	present := 0 // a bit for each value that was found
+	present := 0 // one bit for each value that was found
 	for field := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(field, "=")
 		i, ok := f.index[strings.TrimSpace(name)]
--- a/internal/proxy/upstream/stalls_test.go
+++ b/internal/proxy/upstream/stalls_test.go
@@ -31,7 +31,8 @@
 		}
 		_, ended := startAttempt(p, time.Now().Add(200*time.Millisecond))
 		outcome := <-ended
-		if outcome.Result != dispatch.TimedOut || outcome.ProcessStalled != stalled || outcome.ReportedResult() != want {
+		if outcome.Result != dispatch.TimedOut || outcome.ProcessStalled != stalled ||
+			outcome.ReportedResult() != want {
 			t.Errorf("stalled %v: it ended with %v, the server is judged by %v", stalled, outcome.Result,
 				outcome.ReportedResult())
 		}
--- a/internal/proxy/upstream/stream_test.go
+++ b/internal/proxy/upstream/stream_test.go
@@ -13,8 +13,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// A streamed response may outlast its request's deadline: each Read may last Limits.StallTimeout, whatever part of
-// the coding is buffered already.
+// A streamed response may outlast its request's deadline: each Read may last Limits.StallTimeout, whatever
+// part of the coding is buffered already.
 func TestStreamOutlastsRequestDeadline(t *testing.T) {
 	piece := strings.Repeat("x", 1000)
 	for name, form := range map[string]struct{ head, piece, end string }{
@@ -69,7 +69,8 @@
 }
 
 // A streamed response that stalls, ends early or is longer than stated never counts as complete, blocks its
-// reader no longer than Limits.StallTimeout, and leaves no connection for reuse; all of its memory is released.
+// reader no longer than Limits.StallTimeout, and leaves no connection for reuse; all of its memory is
+// released.
 func TestStreamEndsEarlyOrStalls(t *testing.T) {
 	const size = 100_000
 	for _, c := range []struct {
