--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -19,40 +19,42 @@
 
 type fakeDirectory struct {
 	address  string
-	removed  atomic.Bool // of service
-	onLookup func()      // called on each look-up
+	removed  atomic.Bool // the server is no longer in service
+	onLookup func()      // called on each lookup if not nil
 }
 
-func (p *fakeDirectory) Address(dispatch.ServerID) (string, bool) {
-	if p.onLookup != nil {
-		p.onLookup()
+func (d *fakeDirectory) Address(dispatch.ServerID) (string, bool) {
+	if d.onLookup != nil {
+		d.onLookup()
 	}
-	return p.address, !p.removed.Load()
+	return d.address, !d.removed.Load()
 }
 
-// newPool returns a pool whose time-outs a stalled machine cannot reach.
-func newPool(p *fakeDirectory, reuse time.Duration) *Pool {
-	return New(p, nil, Limits{DialTimeout: nettest.Patience, MaxIdle: reuse, ProbeTimeout: nettest.Patience,
-		BufferTime: nettest.Patience, StallTimeout: nettest.Patience},
+// newPool returns a pool whose timeouts are too long to expire on a stalled machine.
+func newPool(directory *fakeDirectory, maxIdle time.Duration) *Pool {
+	return New(directory, nil, Limits{DialTimeout: nettest.Patience, MaxIdle: maxIdle,
+		ProbeTimeout: nettest.Patience, BufferTime: nettest.Patience, StallTimeout: nettest.Patience},
 		[]string{"active", "waiting", "cpu"}, descriptors.NewBudget(100, 0.6, 0.25), bodybudget.NewBudget(1<<20),
 		&stats.Set{})
 }
 
-func startAttempt(p *Pool, until time.Time) (*Attempt, chan Outcome) {
+// startAttempt starts an attempt in p and returns it with the channel that receives its outcome.
+func startAttempt(p *Pool, deadline time.Time) (*Attempt, chan Outcome) {
 	done := make(chan Outcome, 1)
 	host := http1.Header{{Name: "Host", Value: "h"}}
 	a := &Attempt{Request: &http1.Request{Method: "POST", Target: "/api", Header: host},
-		Deadline: until, Done: func(o Outcome) { done <- o }}
+		Deadline: deadline, Done: func(o Outcome) { done <- o }}
 	p.Start(a)
 	return a, done
 }
 
 func distantDeadline() time.Time { return time.Now().Add(time.Hour) }
 
-func TestResultsOfResponses(t *testing.T) {
+func TestResultOfEachResponse(t *testing.T) {
 	for _, c := range []struct {
-		name, answer string // "" breaks, "silence" says nothing
-		want         dispatch.Result
+		// The response "" closes the connection, "silence" sends nothing, "RESET" at the end resets the connection.
+		name, response string
+		want           dispatch.Result
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", dispatch.Served},
 		{"error", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", dispatch.ErrorResponse},
@@ -93,31 +95,31 @@
 				if _, err := http1.ReadRequest(conn.In); err != nil {
 					return
 				}
-				if c.answer == "silence" {
+				if c.response == "silence" {
 					io.Copy(io.Discard, conn)
 				}
-				answer, reset := strings.CutSuffix(c.answer, "RESET")
-				io.WriteString(conn, answer)
+				response, reset := strings.CutSuffix(c.response, "RESET")
+				io.WriteString(conn, response)
 				if reset {
 					conn.Conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			until := distantDeadline()
+			deadline := distantDeadline()
 			if c.want == dispatch.TimedOut {
-				until = time.Now().Add(4 * time.Second)
+				deadline = time.Now().Add(4 * time.Second)
 			}
 			p := newPool(&fakeDirectory{address: address}, time.Hour)
-			_, done := startAttempt(p, until)
+			_, done := startAttempt(p, deadline)
 			got := <-done
 			if got.Result != c.want {
-				t.Errorf("%s", dispatch.ResultNames[got.Result])
+				t.Errorf("the result is %s", dispatch.ResultNames[got.Result])
 			}
 			p.Release(&got)
 		})
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestRefusedConnection(t *testing.T) {
 	p := newPool(&fakeDirectory{address: "127.0.0.1:1"}, time.Hour) // no test listens on port 1
 	_, done := startAttempt(p, distantDeadline())
 	if got := <-done; got.Result != dispatch.NoConnection {
@@ -125,18 +127,19 @@
 	}
 }
 
-// A list that arrives while an attempt dials or waits for a connection still stops it.
-func TestDrainBeforeTheFirstByte(t *testing.T) {
-	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	where := &fakeDirectory{address: x.Address}
-	looks := 0
-	where.onLookup = func() {
-		if looks++; looks == 2 { // the first look-up is before the dial
-			where.removed.Store(true)
+// If a list that arrives while an attempt is dialling removes the server, nothing is sent to it.
+func TestServerRemovedBeforeFirstByte(t *testing.T) {
+	server := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+	directory := &fakeDirectory{address: server.Address}
+	lookups := 0
+	directory.onLookup = func() {
+		if lookups++; lookups == 2 { // the first lookup is before the dial
+			directory.removed.Store(true)
 		}
 	}
-	_, done := startAttempt(newPool(where, time.Hour), distantDeadline())
-	if got := <-done; got.Result != dispatch.Rejected || len(x.Received("")) != 0 {
-		t.Errorf("%s, %d sent", dispatch.ResultNames[got.Result], len(x.Received("")))
+	_, done := startAttempt(newPool(directory, time.Hour), distantDeadline())
+	if got := <-done; got.Result != dispatch.Rejected || len(server.Received("")) != 0 {
+		t.Errorf("the result is %s, the server received %d requests", dispatch.ResultNames[got.Result],
+			len(server.Received("")))
 	}
 }
--- a/internal/proxy/upstream/reuse_test.go
+++ b/internal/proxy/upstream/reuse_test.go
@@ -14,22 +14,21 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// A duplicate response that arrives some milliseconds late, when the next request is already sent, is not
-// taken for the response to that one: a connection is not reused before Limits.DuplicateGuard. After a probe
-// there is no such wait.
+// A duplicate response that arrives after the next request has been sent must not be taken for the response
+// to that request: a connection is not reused until Limits.DuplicateGuard has passed.
 func TestLateDuplicateResponse(t *testing.T) {
-	second := make(chan bool) // closed when the second request has arrived
-	conns := make(chan int, 1)
-	conns <- 0
+	second := make(chan bool)     // closed when the second request has arrived
+	accepted := make(chan int, 1) // number of connections accepted so far
+	accepted <- 0
 	address := nettest.Listen(t, func(c *connbuffer.Conn) {
-		n := <-conns
-		conns <- n + 1
-		copied := false
+		n := <-accepted
+		accepted <- n + 1
+		duplicated := false
 		for {
 			if _, err := http1.ReadRequest(c.In); err != nil {
 				return
 			}
-			if n == 0 && !copied {
+			if n == 0 && !duplicated {
 				nettest.OK("first").Write(c.Out)
 				c.Flush()
 				go func() {
@@ -37,7 +36,7 @@
 					nettest.OK("first").Write(c.Out)
 					c.Flush()
 				}()
-				copied = true
+				duplicated = true
 				continue
 			}
 			close(second)
@@ -66,19 +65,19 @@
 }
 
 func TestReuseWaitsForDuplicateGuard(t *testing.T) {
-	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	p := newPool(&fakeDirectory{address: x.Address}, time.Hour)
+	server := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+	p := newPool(&fakeDirectory{address: server.Address}, time.Hour)
 	l := *p.limits.Load()
 	l.DuplicateGuard = time.Minute
 	p.SetLimits(l)
 	probed := make(chan bool)
-	ask := func() { _, done := startAttempt(p, distantDeadline()); <-done }
+	sendRequest := func() { _, done := startAttempt(p, distantDeadline()); <-done }
 	p.Probe(0, func(dispatch.Result, time.Duration, []float64) { probed <- true })
 	<-probed
-	ask() // on the probed connection
-	ask() // on a new connection
-	if n := x.Opened.Load(); n != 2 {
-		t.Errorf("%d connections after a probe and two requests", n)
+	sendRequest() // reuses the probe's connection
+	sendRequest() // opens a new connection
+	if n := server.Opened.Load(); n != 2 {
+		t.Errorf("a probe and two requests opened %d connections", n)
 	}
 	p.mu.Lock()
 	for _, c := range p.idle[0] {
@@ -86,21 +85,23 @@
 	}
 	p.idle[0][1].idleSince = time.Now()
 	p.mu.Unlock()
-	ask() // on the one idle for longer than the guard, though another was used later
-	if n := x.Opened.Load(); n != 2 {
-		t.Errorf("%d connections, one of which was past the guard", n)
+	sendRequest() // reuses the one that was idle for longer than DuplicateGuard, though not used most recently
+	if n := server.Opened.Load(); n != 2 {
+		t.Errorf("%d connections opened although one was idle for longer than DuplicateGuard", n)
 	}
 }
 
-// A connection may turn out closed, reset, noisy or too old when it is handed over, or be swept or reclaimed
-// just then. The attempt is made once, on a new connection, and nothing of it is written to the old one.
+// When an attempt is passed to an idle connection, the connection may turn out to be closed, to have unread
+// bytes or to have been idle for too long; or CloseStaleIdle or closeOldestIdle may run at the same moment.
+// The attempt is sent once. If the connection is unusable, it is sent on a new one, and nothing is written to
+// the old one.
 func TestIdleConnectionFailsAtReuse(t *testing.T) {
-	for name, happens := range map[string]func(p *Pool, c *conn, far *connbuffer.Conn){
+	for name, event := range map[string]func(p *Pool, c *conn, serverConn *connbuffer.Conn){
 		"nothing": func(*Pool, *conn, *connbuffer.Conn) {},
-		"closed":  func(_ *Pool, _ *conn, far *connbuffer.Conn) { far.Close() },
-		"noise":   func(_ *Pool, _ *conn, far *connbuffer.Conn) { io.WriteString(far, "x") },
-		"a late answer": func(_ *Pool, _ *conn, far *connbuffer.Conn) {
-			io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
+		"closed":  func(_ *Pool, _ *conn, serverConn *connbuffer.Conn) { serverConn.Close() },
+		"noise":   func(_ *Pool, _ *conn, serverConn *connbuffer.Conn) { io.WriteString(serverConn, "x") },
+		"a late answer": func(_ *Pool, _ *conn, serverConn *connbuffer.Conn) {
+			io.WriteString(serverConn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 		},
 		"too old":   func(_ *Pool, c *conn, _ *connbuffer.Conn) { c.idleSince = time.Now().Add(-2 * time.Hour) },
 		"a sweep":   func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.CloseStaleIdle(); p.mu.Lock() },
@@ -109,14 +110,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			accepted := make(chan *connbuffer.Conn, 9)
-			got := make(chan string, 9)
+			received := make(chan string, 9) // per request, the number of earlier ones on its connection
 			address := nettest.Listen(t, func(c *connbuffer.Conn) {
 				accepted <- c
 				for n := 0; ; n++ {
 					if _, err := http1.ReadRequest(c.In); err != nil {
 						return
 					}
-					got <- fmt.Sprint(n)
+					received <- fmt.Sprint(n)
 					nettest.OK("own").Write(c.Out)
 					c.Flush()
 				}
@@ -124,9 +125,9 @@
 			p := newPool(&fakeDirectory{address: address}, time.Hour)
 			_, done := startAttempt(p, distantDeadline())
 			<-done
-			far := <-accepted
-			<-got
-			// The lock stops the connection's goroutine until everything has happened.
+			serverConn := <-accepted
+			<-received
+			// Holding the lock blocks the connection's goroutine until the event is over.
 			p.mu.Lock()
 			c := p.idle[0][0]
 			p.idle[0] = nil
@@ -135,10 +136,10 @@
 				Value: "h"}}}, Deadline: distantDeadline(), Done: func(o Outcome) { next <- o }}
 			a.initContext()
 			c.next = a
-			happens(p, c, far)
+			event(p, c, serverConn)
 			if name == "noise" || name == "a late answer" {
 				p.mu.Unlock()
-				nettest.Until(t, "it has arrived", func() bool {
+				nettest.Until(t, "the bytes have arrived", func() bool {
 					p.mu.Lock()
 					defer p.mu.Unlock()
 					return c.next == nil || !c.netConn.Still()
@@ -149,41 +150,41 @@
 			p.mu.Unlock()
 			out := <-next
 			if out.Result != dispatch.Served || string(out.Response.Body) != "own" {
-				t.Errorf("%s %+v", dispatch.ResultNames[out.Result], out.Response)
+				t.Errorf("the result is %s, the response %+v", dispatch.ResultNames[out.Result], out.Response)
 			}
 			want := "0"
 			if name == "nothing" || name == "a sweep" || name == "a reclaim" {
 				want = "1"
 			}
-			if n := <-got; n != want || len(got) > 0 {
-				t.Errorf("it was request %s of its connection, want %s; %d more came", n, want, len(got))
+			if n := <-received; n != want || len(received) > 0 {
+				t.Errorf("sent as request %s of its connection, want %s; %d more requests", n, want, len(received))
 			}
 		})
 	}
 }
 
 func TestIdleConnectionIsReused(t *testing.T) {
-	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+	server := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	for _, c := range []struct {
-		reuse time.Duration
-		want  int64
-	}{{time.Hour, 1}, {0, 5}} { // one past MaxIdle at once is never reused
-		x.Opened.Store(0)
-		p := newPool(&fakeDirectory{address: x.Address}, c.reuse)
+		maxIdle time.Duration
+		want    int64
+	}{{time.Hour, 1}, {0, 5}} { // with MaxIdle 0 no connection is reused
+		server.Opened.Store(0)
+		p := newPool(&fakeDirectory{address: server.Address}, c.maxIdle)
 		for range 5 {
 			_, done := startAttempt(p, distantDeadline())
 			if got := <-done; got.Result != dispatch.Served {
 				t.Error(dispatch.ResultNames[got.Result])
 			}
 		}
-		if got := x.Opened.Load(); got != c.want {
-			t.Errorf("%d connections with reuse for %v, want %d", got, c.reuse, c.want)
+		if got := server.Opened.Load(); got != c.want {
+			t.Errorf("five attempts opened %d connections with MaxIdle %v, want %d", got, c.maxIdle, c.want)
 		}
 	}
 }
 
-// No attempt is lost to a connection that its server closed while it was idle.
-func TestClosedWhileIdle(t *testing.T) {
+// No attempt fails because the server closed a connection while it was idle.
+func TestIdleConnectionClosedByServer(t *testing.T) {
 	address := nettest.Listen(t, func(c *connbuffer.Conn) {
 		if _, err := http1.ReadRequest(c.In); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -203,38 +204,38 @@
 	}
 }
 
-// Bytes that arrive between two exchanges, after a good response, are not taken for the next response, also
-// where the connection is handed over just then.
+// Unread bytes that arrived after a complete response must not be taken for the next response, even if an
+// attempt has been passed to the connection meanwhile.
 func TestDuplicateIsNotNextResponse(t *testing.T) {
-	const copied = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
+	const duplicate = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
 	address := nettest.Listen(t, func(c *connbuffer.Conn) {
 		if _, err := http1.ReadRequest(c.In); err != nil {
 			return
 		}
-		io.WriteString(c, copied)
+		io.WriteString(c, duplicate)
 		io.Copy(io.Discard, c)
 	})
 	p := newPool(&fakeDirectory{address: address}, time.Hour)
 	nc := nettest.Dial(t, address)
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-	nettest.Until(t, "the copy waits in the system", func() bool { return !nc.Quiet() })
+	nettest.Until(t, "the duplicate is in the socket's receive buffer", func() bool { return !nc.Quiet() })
 	a := &Attempt{}
 	c := &conn{pool: p, netConn: nc, next: a, idleSince: time.Now()}
 	nc.SetReadDeadline(time.Unix(1, 0))
 	if got, usable := c.awaitAttempt(); got != a || usable {
-		t.Errorf("attempt handed over: %v, connection usable: %v", got == a, usable)
+		t.Errorf("attempt returned: %v, connection usable: %v", got == a, usable)
 	}
 }
 
-func TestSweepClosesIdleConnections(t *testing.T) {
-	x := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
-	where := &fakeDirectory{address: x.Address}
-	p := newPool(where, time.Hour)
+func TestCloseStaleIdle(t *testing.T) {
+	server := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
+	directory := &fakeDirectory{address: server.Address}
+	p := newPool(directory, time.Hour)
 	_, done := startAttempt(p, distantDeadline())
 	<-done
-	where.removed.Store(true)
+	directory.removed.Store(true)
 	p.CloseStaleIdle()
 	if len(p.idle) != 0 || p.closeOldestIdle() {
-		t.Error("an idle connection stays")
+		t.Error("an idle connection to a removed server remains")
 	}
 }
--- a/internal/proxy/upstream/stalls_test.go
+++ b/internal/proxy/upstream/stalls_test.go
@@ -12,9 +12,9 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// A server that has not answered in time is not judged by that if this process did not run for a part of the
-// time. The attempt ends all the same, as its client does not wait any longer.
-func TestStalledProcessJudgesNoServer(t *testing.T) {
+// If an attempt times out while this process was stalled for part of the time, the timeout does not count
+// against the server. The attempt ends nevertheless, because its client does not wait longer.
+func TestTimeoutDuringStallDoesNotCountAgainstServer(t *testing.T) {
 	address := nettest.Listen(t, func(conn *connbuffer.Conn) {
 		_, _ = http1.ReadRequest(conn.In)
 		_, _ = io.Copy(io.Discard, conn)
@@ -26,22 +26,22 @@
 		go p.clock.Run(done)
 		want := dispatch.TimedOut
 		if stalled {
-			p.clock.Inject(time.Now().Add(time.Hour), time.Hour) // from now on
+			p.clock.Inject(time.Now().Add(time.Hour), time.Hour) // every wait counts as stalled
 			want = dispatch.Cancelled
 		}
 		_, ended := startAttempt(p, time.Now().Add(200*time.Millisecond))
 		outcome := <-ended
 		if outcome.Result != dispatch.TimedOut || outcome.ProcessStalled != stalled ||
 			outcome.ReportedResult() != want {
-			t.Errorf("stalled %v: it ended with %v, the server is judged by %v", stalled, outcome.Result,
+			t.Errorf("stalled %v: the result is %v, the reported result %v", stalled, outcome.Result,
 				outcome.ReportedResult())
 		}
 		close(done)
 	}
 }
 
-// A probe is waited for longer by the time in which this process did not run.
-func TestProbeOutlastsAStall(t *testing.T) {
+// The timeout of a probe is extended by the time in which this process was stalled.
+func TestStallExtendsProbeTimeout(t *testing.T) {
 	address := nettest.Listen(t, func(conn *connbuffer.Conn) {
 		for {
 			if _, err := http1.ReadRequest(conn.In); err != nil {
@@ -54,11 +54,11 @@
 	p.clock = stallclock.New(nil)
 	p.clock.Inject(time.Now().Add(time.Hour), time.Hour)
 	limits := *p.limits.Load()
-	limits.ProbeTimeout = time.Millisecond // less than any server needs to answer here
+	limits.ProbeTimeout = time.Millisecond // less than the server needs to respond
 	p.SetLimits(limits)
 	result := make(chan dispatch.Result)
 	p.Probe(1, func(r dispatch.Result, _ time.Duration, _ []float64) { result <- r })
 	if got := <-result; got != dispatch.Served {
-		t.Errorf("the probe ended with %v", got)
+		t.Errorf("the result of the probe is %v", got)
 	}
 }
--- a/internal/proxy/upstream/stream_test.go
+++ b/internal/proxy/upstream/stream_test.go
@@ -13,34 +13,34 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// A streamed response may outlast its request's deadline: each Read may last Limits.StallTimeout, whatever
-// part of the coding is buffered already.
+// A streamed response may last longer than its request's deadline: each Read may take Limits.StallTimeout,
+// whichever part of the transfer coding is already buffered.
 func TestStreamOutlastsRequestDeadline(t *testing.T) {
-	piece := strings.Repeat("x", 1000)
-	for name, form := range map[string]struct{ head, piece, end string }{
-		"chunks":        {"Transfer-Encoding: chunked", "3e8\r\n" + piece + "\r\n", "0\r\n\r\n"},
-		"an open chunk": {"Transfer-Encoding: chunked", "\r\n3e8\r\n" + piece, "\r\n0\r\n\r\n"},
+	kilobyte := strings.Repeat("x", 1000)
+	for name, form := range map[string]struct{ head, part, end string }{
+		"chunks":        {"Transfer-Encoding: chunked", "3e8\r\n" + kilobyte + "\r\n", "0\r\n\r\n"},
+		"an open chunk": {"Transfer-Encoding: chunked", "\r\n3e8\r\n" + kilobyte, "\r\n0\r\n\r\n"},
 		"a length": {"Content-Length: 100000", strings.Repeat("x", 5000),
 			strings.Repeat("x", 85_000)},
-		"the end of it":    {"A: b", piece, ""},
-		"half a last line": {"Transfer-Encoding: chunked", "3e8\r\n" + piece + "\r\n0\r\nA: b", "\r\n\r\n"},
+		"the end of it":    {"A: b", kilobyte, ""},
+		"half a last line": {"Transfer-Encoding: chunked", "3e8\r\n" + kilobyte + "\r\n0\r\nA: b", "\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			begun, late := make(chan bool), make(chan bool)
+			streaming, late := make(chan bool), make(chan bool)
 			address := nettest.Listen(t, func(c *connbuffer.Conn) {
 				if _, err := http1.ReadRequest(c.In); err != nil {
 					return
 				}
 				if name == "half a last line" {
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n3e8\r\n%s\r\n", form.head, piece)
-					<-begun
-					io.WriteString(c, form.piece)
+					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n3e8\r\n%s\r\n", form.head, kilobyte)
+					<-streaming
+					io.WriteString(c, form.part)
 				} else {
-					first := strings.TrimPrefix(form.piece, "\r\n")
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n%s", form.head, first+form.piece)
-					<-begun
-					io.WriteString(c, form.piece)
+					first := strings.TrimPrefix(form.part, "\r\n")
+					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n%s", form.head, first+form.part)
+					<-streaming
+					io.WriteString(c, form.part)
 				}
 				<-late
 				io.WriteString(c, form.end)
@@ -49,15 +49,15 @@
 			l := *p.limits.Load()
 			l.BufferTime = 100 * time.Millisecond
 			p.SetLimits(l)
-			until := time.Now().Add(4 * time.Second)
-			_, done := startAttempt(p, until)
+			deadline := time.Now().Add(4 * time.Second)
+			_, done := startAttempt(p, deadline)
 			out := <-done
 			if out.Result != dispatch.Served || out.Stream == nil {
 				t.Fatalf("%s, %+v", dispatch.ResultNames[out.Result], out)
 			}
-			close(begun)
+			close(streaming)
 			go func() {
-				time.Sleep(time.Until(until.Add(100 * time.Millisecond))) // past the deadline of the request
+				time.Sleep(time.Until(deadline.Add(100 * time.Millisecond)))
 				close(late)
 			}()
 			if n, err := io.Copy(io.Discard, out.Stream); err != nil {
@@ -68,18 +68,18 @@
 	}
 }
 
-// A streamed response that stalls, ends early or is longer than stated never counts as complete, blocks its
-// reader no longer than Limits.StallTimeout, and leaves no connection for reuse; all of its memory is
-// released.
+// A streamed response that stalls or ends early does not count as complete, and one that is longer than
+// stated ends at the stated length. Its reader is blocked no longer than Limits.StallTimeout, its connection
+// is not reused, and all of its memory is released.
 func TestStreamEndsEarlyOrStalls(t *testing.T) {
 	const size = 100_000
 	for _, c := range []struct {
 		name   string
 		bytes  int
-		stays  bool // the server sends no more and does not close
-		stalls bool // the end of the body is waited for in vain
-		whole  bool
-		idle   int
+		stays  bool // the server keeps the connection open after the last byte
+		stalls bool // the rest of the body never arrives
+		whole  bool // the body is complete
+		idle   int  // idle connections afterwards
 	}{
 		{"complete", size, true, false, true, 1},
 		{"stalls", 50_000, true, true, false, 0},
@@ -122,7 +122,7 @@
 				}
 				return n
 			}
-			nettest.Until(t, "the connection is parked", func() bool { return idle() == c.idle })
+			nettest.Until(t, "the connection is idle or closed", func() bool { return idle() == c.idle })
 			time.Sleep(20 * time.Millisecond)
 			if idle() != c.idle || p.bodies.Used() != 0 {
 				t.Errorf("%d idle connections, %d bytes reserved", idle(), p.bodies.Used())
