--- a/internal/proxy/discovery/run.go
+++ b/internal/proxy/discovery/run.go
@@ -11,39 +11,41 @@
 )
 
 const (
-	// maxQuickReopens is how many watches are reopened soon and without Follow after one that timed out.
+	// maxQuickReopens is how many calls are made soon and without Follow after a watch has timed out. Calls that
+	// get no connection are not counted.
 	maxQuickReopens = 2
-	// The delay before retry n, from 1 on, is spread around retryBase<<n; n counts up to maxRetryShift.
+	// The delay before retry n, counted from 1, is random around retryBase<<min(n, maxRetryShift).
 	retryBase     = 200 * time.Millisecond
 	maxRetryShift = 4
 )
 
-// Run opens watches as it is asked to, until ctx ends; it is called once. changed is called after each list.
-func (c *Client) Run(ctx context.Context, sink Sink, changed func()) {
-	c.sink, c.changed = sink, changed
-	retry := time.NewTimer(time.Hour) // handleEnd sets it; when it fires otherwise nothing is due
+// Run opens and closes watches as requested, until ctx ends. It is called once. onListApplied is called after
+// each document that was applied.
+func (c *Client) Run(ctx context.Context, sink Sink, onListApplied func()) {
+	c.sink, c.onListApplied = sink, onListApplied
+	retry := time.NewTimer(time.Hour) // set by handleEnd; the initial hour has no meaning
 	defer retry.Stop()
-	c.begin(ctx)
+	c.startFollowing(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.followRequests:
-			if c.mayOpen() && !c.unsynced {
-				c.open(ctx, false)
+			if c.canOpenWatch() && !c.needsFullList {
+				c.openWatch(ctx, false)
 			}
 		case address := <-c.addressChanges:
-			c.move(ctx, address)
+			c.changeAddress(ctx, address)
 		case f := <-c.feedChanges:
 			c.applyFeed(ctx, f)
 		case raw := <-c.replacements:
 			c.replace(raw)
 		case <-retry.C:
-			if c.mayOpen() && (c.unsynced || c.quickReopens > 0 || c.followsAlways()) {
-				c.open(ctx, c.unsynced)
+			if c.canOpenWatch() && (c.needsFullList || c.quickReopens > 0 || c.followsAutomatically()) {
+				c.openWatch(ctx, c.needsFullList)
 			}
 		case w := <-c.syncedWatches:
-			c.markSynced(w)
+			c.handleFullList(w)
 		case w := <-c.endedWatches:
 			if delay := c.handleEnd(w); delay > 0 {
 				retry.Reset(delay)
@@ -52,50 +54,52 @@
 	}
 }
 
-// begin applies a feed that was set before the start, and opens the first watch where none waits for Follow.
-func (c *Client) begin(ctx context.Context) {
+// startFollowing applies a feed that was set before Run, and opens the first watch if watches are opened
+// without Follow.
+func (c *Client) startFollowing(ctx context.Context) {
 	select {
 	case f := <-c.feedChanges:
 		c.applyFeed(ctx, f)
 	default:
 	}
-	if c.followsAlways() && c.mayOpen() {
-		c.unsynced = true // the list from before the start may be old, and the registry's has taken effect
-		c.open(ctx, true)
+	if c.followsAutomatically() && c.canOpenWatch() {
+		c.needsFullList = true // the restored list may be old, while the registry's has taken effect
+		c.openWatch(ctx, true)
 	}
 }
 
-// followsAlways reports whether watches are opened without Follow.
-func (c *Client) followsAlways() bool { return c.limits.Load().MaxReopenDelay > 0 }
+// followsAutomatically reports whether watches are opened without Follow.
+func (c *Client) followsAutomatically() bool { return c.limits.Load().MaxReopenDelay > 0 }
 
-// mayOpen reports whether the registry is to be asked and no watch is open.
-func (c *Client) mayOpen() bool { return c.current == nil && !c.feed.ReplaceOnly }
+// canOpenWatch reports whether lists come from the registry and no watch is open.
+func (c *Client) canOpenWatch() bool { return c.current == nil && !c.feed.ReplaceOnly }
 
-// open opens a watch at the present address.
-func (c *Client) open(ctx context.Context, fullList bool) {
+// openWatch opens a watch at the current address.
+func (c *Client) openWatch(ctx context.Context, fullList bool) {
 	c.current = c.startWatch(ctx, c.address, fullList)
 }
 
-// move turns to another address at once. The watch at the present one stays open until the new one has
-// delivered the full list, so that no change is missed between them.
-func (c *Client) move(ctx context.Context, address string) {
+// changeAddress opens a watch at another address at once. The watch at the previous address stays open until
+// the new one has delivered the full list, so that no change is missed in between.
+func (c *Client) changeAddress(ctx context.Context, address string) {
 	if address == c.address {
 		return
 	}
 	c.log.Info("discovery: moved", "from", c.address, "to", address)
-	if c.unsynced {
+	if c.needsFullList {
 		c.stopWatch(c.current)
 	} else {
 		c.previous = c.current
 	}
-	c.address, c.unsynced, c.retries = address, true, 0
+	c.address, c.needsFullList, c.retries = address, true, 0
 	c.current = nil
-	if c.mayOpen() {
-		c.open(ctx, true)
+	if c.canOpenWatch() {
+		c.openWatch(ctx, true)
 	}
 }
 
-// applyFeed changes where lists come from: it stops the open watches, and what they still deliver is ignored.
+// applyFeed changes where lists come from. It stops the open watches; documents that they still deliver are
+// ignored.
 func (c *Client) applyFeed(ctx context.Context, f Feed) {
 	if f == c.feed {
 		return
@@ -105,37 +109,39 @@
 	c.stopWatch(c.previous)
 	c.current, c.previous = nil, nil
 	c.ignoreWatchesBefore(c.watchCount + 1)
-	if c.mayOpen() {
-		c.open(ctx, c.unsynced)
+	if c.canOpenWatch() {
+		c.openWatch(ctx, c.needsFullList)
 	}
 }
 
-// replace applies a list that came by Replace.
+// replace applies a list that was passed to Replace.
 func (c *Client) replace(raw []byte) {
 	if err := c.deliver(nil, raw); err != nil {
 		c.log.Error("discovery: replacement list rejected, the present one stays", logging.Err, err)
 	}
 }
 
-// markSynced ends a move: the watch at the new address has delivered the full list.
-func (c *Client) markSynced(w *watch) {
+// handleFullList handles a watch that has delivered its full list: it stops the watch at the previous
+// address.
+func (c *Client) handleFullList(w *watch) {
 	if w != c.current {
 		return
 	}
-	c.unsynced, c.retries = false, 0
+	c.needsFullList, c.retries = false, 0
 	c.stopWatch(c.previous)
 	c.previous = nil
 }
 
-// handleEnd handles the end of a watch and returns the delay before the next one is opened without Follow, 0
-// if none is. One is opened after a move, after a time-out, and where watches don't wait for Follow: in these
-// cases nobody would call it, and the changes that the registry has meanwhile bind.
+// handleEnd handles the end of a watch. It returns the delay before the next one is opened without Follow, or
+// 0 if it is not. It is opened without Follow if the full list is still needed, after a timeout, and if
+// followsAutomatically: in these cases nobody would call Follow, and changes take effect although no watch
+// delivers them.
 func (c *Client) handleEnd(w *watch) time.Duration {
 	w.cancel()
 	if w == c.previous {
 		c.previous = nil
 	}
-	if w != c.current { // stopped on purpose, or superseded
+	if w != c.current { // stopped by Run, or superseded
 		return 0
 	}
 	c.current = nil
@@ -144,16 +150,16 @@
 	if w.delivered {
 		c.retries, c.quickReopens = 0, 0
 	}
-	if errors.Is(w.err, errIndexFell) {
-		c.unsynced = true
+	if errors.Is(w.err, errIndexDecreased) {
+		c.needsFullList = true
 	}
 	if delay := c.quickReopenDelay(w.err); delay > 0 {
 		return delay
 	}
-	if c.unsynced || c.followsAlways() {
+	if c.needsFullList || c.followsAutomatically() {
 		return c.retryDelay()
 	}
-	select { // a Follow from while the watch was open is a no-op
+	select { // discards a Follow that was called while the watch was open
 	case <-c.followRequests:
 	default:
 	}
@@ -161,10 +167,10 @@
 	return 0
 }
 
-// quickReopenDelay is the delay before a watch is reopened after a time-out, 0 if it is not reopened for
-// that reason. What a silent watch missed may bind before the next Follow, so a call after it that fails is
-// repeated once. Calls that get no connection, as from a partitioned zone, don't count, for they cost the
-// registry nothing.
+// quickReopenDelay returns the delay before a watch is reopened after a timeout, or 0 if it is not reopened
+// for that reason. Changes that were missed may take effect before the next Follow, so if the first call
+// after the timeout fails it is retried once. Calls that get no connection, as during a partition, don't
+// count, because they cost the registry nothing.
 func (c *Client) quickReopenDelay(err error) time.Duration {
 	timedOut := errors.Is(err, errWatchTimeout) || errors.Is(err, os.ErrDeadlineExceeded)
 	if c.quickReopens == 0 && !timedOut {
@@ -181,12 +187,12 @@
 	return time.Nanosecond + time.Duration(spread) // never 0
 }
 
-// retryDelay is the delay before a failed call is made again: exponential backoff with jitter, because all
-// client proxies learn of a move at the same moment.
+// retryDelay returns the delay before a failed call is retried: exponential backoff with jitter, because all
+// client proxies learn of a change of address at the same moment.
 func (c *Client) retryDelay() time.Duration {
 	c.retries++
 	delay := retryBase << min(c.retries, maxRetryShift)
-	if c.followsAlways() {
+	if c.followsAutomatically() {
 		delay = min(delay, c.limits.Load().MaxReopenDelay*2/3)
 	}
 	return time.Duration((0.5 + rand.Float64()) * float64(delay))
--- a/internal/proxy/discovery/table.go
+++ b/internal/proxy/discovery/table.go
@@ -17,23 +17,24 @@
 	"cresshub/internal/proxy/serverlist"
 )
 
-// states are the states of servers by their names in lists.
-var states = map[string]balance.ServerState{
+// stateByStatus maps the status of a server in a list to its state.
+var stateByStatus = map[string]balance.ServerState{
 	"in_service": balance.Up, "terminating": balance.Draining, "terminated": balance.Removed,
 }
 
-// maxSinceMS bounds the starts of servers, in ms of Unix time: as a time.Duration they must not overflow.
+// maxSinceMS is the exclusive upper bound of a server's start time, in ms of Unix time, so that it does not
+// overflow as a time.Duration.
 const maxSinceMS = 1e15
 
 var errSuperseded = errors.New("a newer watch has delivered the list")
 
-// table is the list of servers as it is known now. Any goroutine may call its methods.
+// table is the current list of servers. Any goroutine may call its exported methods.
 type table struct {
 	mu          sync.Mutex
-	names       Names  // those of the settings, and behind them those that lists brought
-	index       int64  // the registry's count of changes
-	sourceWatch int64  // number of the newest watch that delivered; older ones are ignored
-	origin      string // address that the list comes from
+	names       Names  // those of the settings, followed by others that occurred in lists
+	index       int64  // the registry's count of changes up to this list
+	newestWatch int64  // number of the newest watch that has delivered; documents of older ones are ignored
+	origin      string // address of the registry that the list comes from
 	idByName    map[string]dispatch.ServerID
 	nameByID    map[dispatch.ServerID]string
 	addresses   map[dispatch.ServerID]string   // of servers in service
@@ -48,13 +49,13 @@
 	}
 }
 
-// Restore applies the list from before the start, as Export wrote it, and returns it for package dispatch.
+// Restore applies a list that Export returned in an earlier process, and returns it for package dispatch.
 func (t *table) Restore(raw []byte) ([]dispatch.Server, error) {
 	_, list, err := t.apply(nil, raw)
 	return list, err
 }
 
-// Address returns where a server listens; false if it is not in service.
+// Address returns the address at which a server listens, and false if it is not in service.
 func (t *table) Address(s dispatch.ServerID) (string, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +63,8 @@
 	return address, ok
 }
 
-// Export returns the list in discovery's form, the same bytes for the same list; nil if it is empty.
+// Export returns the list in the registry's format, or nil if it is empty. The same list always gives the
+// same bytes.
 func (t *table) Export() ([]byte, error) {
 	t.mu.Lock()
 	doc := serverlist.Document{
@@ -76,28 +78,28 @@
 	return json.Marshal(doc)
 }
 
-// Origin is the address of the registry that the list comes from.
+// Origin returns the address of the registry that the list comes from.
 func (t *table) Origin() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.origin
 }
 
-// Index is the registry's count of changes at which the list stands.
+// Index returns the index of the list: the registry's count of changes up to it.
 func (t *table) Index() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.index
 }
 
-// NumListed is the number of servers in the list, those that drain included.
+// NumListed returns the number of servers in the list, including those that are draining.
 func (t *table) NumListed() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.idByName)
 }
 
-// NumInService is the number of servers in service.
+// NumInService returns the number of servers in service.
 func (t *table) NumInService() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,32 +117,32 @@
 func (t *table) ignoreWatchesBefore(number int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sourceWatch = number
+	t.newestWatch = number
 }
 
-// apply applies one document of a watch or, if w is nil, of another source: from then on no attempt begins at
-// a server that it takes out of service. With its first document a watch becomes the source, and older
-// watches are ignored. A change whose index is below the list's is applied and errIndexFell returned with it,
-// because the changes between the two are unknown.
+// apply applies one document of a watch or, if w is nil, of another source. From then on no attempt starts at
+// a server that the document takes out of service. Once a watch has delivered a document, those of older
+// watches are ignored. A change whose index is below the list's is applied, but errIndexDecreased is
+// returned, because other changes may be unknown.
 func (t *table) apply(w *watch, raw []byte) (full bool, list []dispatch.Server, err error) {
-	doc, err := parse(raw)
+	doc, err := parseDocument(raw)
 	if err != nil {
 		return false, nil, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w != nil {
-		if w.number < t.sourceWatch {
+		if w.number < t.newestWatch {
 			return false, nil, errSuperseded
 		}
-		t.sourceWatch, t.origin = w.number, w.address
+		t.newestWatch, t.origin = w.number, w.address
 		if !doc.Snapshot && doc.Index < t.index {
-			err = errIndexFell
+			err = errIndexDecreased
 		}
 	}
 	t.index = doc.Index
 	if doc.Snapshot {
-		// A machine that is replaced comes back under another name, so names are not retained.
+		// Names are not retained, because a replaced machine gets another name.
 		clear(t.addresses)
 		clear(t.idByName)
 		clear(t.nameByID)
@@ -152,14 +154,14 @@
 	return doc.Snapshot, list, err
 }
 
-// parse decodes and checks a document.
-func parse(raw []byte) (doc serverlist.Document, err error) {
+// parseDocument decodes and validates a document.
+func parseDocument(raw []byte) (doc serverlist.Document, err error) {
 	if err := json.Unmarshal(raw, &doc); err != nil {
 		return doc, err
 	}
 	for i := range doc.Endpoints {
 		e := &doc.Endpoints[i]
-		_, ok := states[e.Status]
+		_, ok := stateByStatus[e.Status]
 		if !ok || e.Name == "" || e.Group < 0 || !(e.SinceMS >= 0 && e.SinceMS < maxSinceMS) {
 			return doc, fmt.Errorf("endpoint %d (%.40q) is invalid", i, e.Name)
 		}
@@ -167,11 +169,12 @@
 	return doc, nil
 }
 
-// applyEndpoint applies the entry of one server and returns it for package dispatch.
+// applyEndpoint applies the entry of one server and returns the server for package dispatch. The caller holds
+// t.mu.
 func (t *table) applyEndpoint(e *serverlist.Endpoint) dispatch.Server {
 	s := dispatch.Server{
-		ID: t.serverID(e.Name), Zone: position(&t.names.Zones, e.Zone), Kind: position(&t.names.Kinds, e.Type),
-		Cell: e.Group, State: states[e.Status], Rating: e.Weight,
+		ID: t.serverID(e.Name), Zone: indexOrAppend(&t.names.Zones, e.Zone),
+		Kind: indexOrAppend(&t.names.Kinds, e.Type), Cell: e.Group, State: stateByStatus[e.Status], Rating: e.Weight,
 		Started: time.Duration(math.Round(e.SinceMS*1000)) * time.Microsecond,
 	}
 	t.endpoints[e.Name] = *e
@@ -179,7 +182,7 @@
 	switch s.State {
 	case balance.Up:
 		t.addresses[s.ID] = e.Address
-	case balance.Removed: // otherwise names would accumulate where no full list ever comes
+	case balance.Removed: // otherwise names would accumulate if no full list ever came
 		delete(t.idByName, e.Name)
 		delete(t.endpoints, e.Name)
 		delete(t.nameByID, s.ID)
@@ -187,8 +190,8 @@
 	return s
 }
 
-// position returns a name's position in names; an unknown one is appended.
-func position(names *[]string, name string) int {
+// indexOrAppend returns the index of name in names, to which it appends an unknown name.
+func indexOrAppend(names *[]string, name string) int {
 	i := slices.Index(*names, name)
 	if i < 0 {
 		i = len(*names)
@@ -197,8 +200,9 @@
 	return i
 }
 
-// serverID returns the id of a name, which is a hash of it: all client proxies must agree on ids, because the
-// decisions hash keys to them. Only where two names collide does an id depend on which name came first.
+// serverID returns the id of a name. It is a hash of the name, because all client proxies must agree on ids:
+// the balancer maps keys to ids by hashing. Only if the hashes of two names collide does an id depend on
+// which name came first. The caller holds t.mu.
 func (t *table) serverID(name string) dispatch.ServerID {
 	if s, ok := t.idByName[name]; ok {
 		return s
--- a/internal/proxy/discovery/valuereader.go
+++ b/internal/proxy/discovery/valuereader.go
@@ -8,22 +8,24 @@
 	"time"
 )
 
-// valueReader reads a stream of JSON values, however they are split into lines and chunks. Space between two
-// values is a heartbeat; a value that has begun must be complete within Limits.WatchTimeout, so that a
-// trickle of bytes does not keep a broken stream open. It is the io.Reader of its own decoder.
+// valueReader reads a stream of JSON values, however they are split into lines and chunks. White space
+// between two values is a heartbeat. A value that has begun must be complete within Limits.WatchTimeout, so
+// that a trickle of bytes does not keep a broken stream open. The valueReader is the io.Reader of its own
+// decoder.
 type valueReader struct {
 	body        io.Reader
 	limits      func() Limits
-	setDeadline func(time.Time) // of the connection
+	setDeadline func(time.Time) // sets the read deadline of the connection
 	onReceive   func()          // called for each value and each heartbeat
 
 	decoder   *json.Decoder
 	inValue   bool      // a value has begun
-	deadline  time.Time // for the rest of the value, or for the next byte where none has begun
-	remaining int       // bytes that the value may still have
+	deadline  time.Time // for the rest of the value or, between values, for the next byte
+	remaining int       // number of bytes that the value may still have
 }
 
-// newValueReader returns a reader of body, which setDeadline bounds.
+// newValueReader returns a reader of the values in body. setDeadline sets the deadline of the connection from
+// which body is read.
 func newValueReader(
 	body io.Reader, limits func() Limits, setDeadline func(time.Time), onReceive func(),
 ) *valueReader {
@@ -32,7 +34,7 @@
 	return v
 }
 
-// next returns the next value, which is valid until the following call.
+// next returns the next value, which is valid until next is called again.
 func (v *valueReader) next() (raw json.RawMessage, err error) {
 	rest, err := io.ReadAll(v.decoder.Buffered())
 	if err != nil {
@@ -48,13 +50,14 @@
 	return raw, nil
 }
 
-// space is what JSON allows between values.
+// space is the white space that JSON allows between values.
 const space = " \t\r\n"
 
-// Read reads for the decoder, within the deadline and up to MaxListBytes of one value.
+// Read implements io.Reader for the decoder. It observes the deadline and reads at most MaxListBytes of a
+// value.
 func (v *valueReader) Read(p []byte) (int, error) {
 	if v.remaining <= 0 {
-		return 0, fmt.Errorf("an object of more than %d bytes", v.limits().MaxListBytes)
+		return 0, fmt.Errorf("JSON value is longer than %d bytes", v.limits().MaxListBytes)
 	}
 	if !v.inValue {
 		v.deadline = time.Now().Add(v.limits().WatchTimeout)
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -18,28 +18,28 @@
 )
 
 var (
-	errWatchTimeout = errors.New("nothing received within the watch time-out")
-	errDialTimeout  = errors.New("no connection within the dial time-out")
-	errIndexFell    = errors.New("discovery's index fell, the full list is asked for")
+	errWatchTimeout   = errors.New("nothing received within the watch timeout")
+	errDialTimeout    = errors.New("no connection established within the dial timeout")
+	errIndexDecreased = errors.New("the list's index decreased, requesting the full list")
 )
 
-// listTarget is the registry's list of servers.
+// listTarget is the request target of the registry's list of servers.
 const listTarget = "/registry/instances"
 
-// watch is one call to the registry that stays open.
+// watch is one connection to the registry with a call that stays open.
 type watch struct {
-	number   int64 // higher than those of all watches before
+	number   int64 // higher than the number of any earlier watch
 	address  string
-	fullList bool   // it begins with the full list, as the index of the present list may mean nothing here
+	fullList bool   // it requests the full list first, because the current index may mean nothing at address
 	token    uint64 // fencing token, 0 for none
 	cancel   context.CancelFunc
 
-	// The watch's goroutine sets these before it sends itself to endedWatches.
-	delivered bool  // it delivered a document
-	err       error // why it ended
+	// The watch's goroutine sets these fields before it sends the watch to endedWatches.
+	delivered bool  // a document arrived on its watch call
+	err       error // the reason for its end
 }
 
-// startWatch opens a watch, whose goroutine sends it to endedWatches when it has ended.
+// startWatch starts a watch and its goroutine, which sends the watch to endedWatches when it has ended.
 func (c *Client) startWatch(ctx context.Context, address string, fullList bool) *watch {
 	c.watchCount++
 	w := &watch{number: c.watchCount, address: address, fullList: fullList, token: c.feed.Token}
@@ -58,7 +58,7 @@
 	}
 }
 
-// notifyRun sends a watch to Run, which may have ended.
+// notifyRun sends a watch to Run's goroutine, unless ctx has ended.
 func (c *Client) notifyRun(ctx context.Context, to chan *watch, w *watch) {
 	select {
 	case to <- w:
@@ -66,10 +66,11 @@
 	}
 }
 
-// runWatch connects and delivers documents until the watch ends. It always returns an error, which says why.
+// runWatch connects and delivers documents until the watch ends. It always returns an error, the reason for
+// the end.
 func (c *Client) runWatch(ctx context.Context, w *watch) error {
 	if !c.budget.Acquire(descriptors.Servers) {
-		return errors.New("no socket left")
+		return errors.New("no file descriptor left in the budget")
 	}
 	defer c.budget.Release(descriptors.Servers)
 	netConn, err := c.connect(ctx, w.address)
@@ -90,8 +91,8 @@
 	return c.deliverChanges(conn, w)
 }
 
-// deliverFullList asks for the full list. A watch from index 0 would not do: the registry may send changes,
-// and servers that were removed before those would stay.
+// deliverFullList requests and delivers the full list. A watch from index 0 would not suffice: the registry
+// may send only changes, and servers that were removed before these would remain in the list.
 func (c *Client) deliverFullList(conn *connbuffer.Conn, w *watch) error {
 	body, err := c.get(conn, w, "")
 	if err != nil {
@@ -104,7 +105,8 @@
 	return c.deliver(w, list)
 }
 
-// deliverChanges delivers the changes since the list's index as they come.
+// deliverChanges opens the call that watches for changes after the list's index, and delivers each on
+// arrival.
 func (c *Client) deliverChanges(conn *connbuffer.Conn, w *watch) error {
 	body, err := c.get(conn, w, "?watch=1&from="+strconv.FormatInt(c.Index(), 10))
 	if err != nil {
@@ -127,7 +129,7 @@
 	}
 }
 
-// get makes one call and returns the body of its response.
+// get makes one call to the registry and returns the body of its response.
 func (c *Client) get(conn *connbuffer.Conn, w *watch, query string) (io.Reader, error) {
 	conn.SetDeadline(time.Now().Add(c.limits.Load().WatchTimeout))
 	request := http1.Request{
@@ -146,24 +148,24 @@
 	}
 	status, body, err := http1.ReadStream(conn.In)
 	if status == http.StatusConflict && w.token > 0 {
-		c.onTokenRejected(w.token, "discovery answered 409")
+		c.onTokenRejected(w.token, "discovery responded with status 409")
 	}
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("discovery answered %d", status)
+		err = fmt.Errorf("discovery responded with status %d", status)
 	}
 	return body, err
 }
 
-// deliver applies one document of a watch, or of Replace if w is nil, and passes the servers to the sink.
+// deliver applies one document of a watch, or of Replace if w is nil, and passes its servers to the sink.
 func (c *Client) deliver(w *watch, raw []byte) error {
 	c.deliverMu.Lock()
 	defer c.deliverMu.Unlock()
 	full, list, err := c.apply(w, raw)
-	if err != nil && !errors.Is(err, errIndexFell) {
+	if err != nil && !errors.Is(err, errIndexDecreased) {
 		return err
 	}
 	c.sink.UpdateList(full, list)
-	c.changed()
+	c.onListApplied()
 	c.stats.ListsRead.Add()
 	return err
 }
