--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -81,7 +81,7 @@
 	log             *slog.Logger
 	onTokenRejected func(token uint64, why string)
 	startTime       time.Time    // origin of lastReceived on the monotonic clock
-	lastReceived    atomic.Int64 // when a watch last received a document or heartbeat, in ns since startTime; 0 for never
+	lastReceived    atomic.Int64 // ns from startTime to the last document or heartbeat; 0 for never
 	deliverMu       sync.Mutex   // keeps documents in the same order in the table and at the sink
 
 	// Requests to Run, and the events of watches. Of several unread requests of a kind only the last counts.
--- a/internal/proxy/discovery/table.go
+++ b/internal/proxy/discovery/table.go
@@ -123,7 +123,7 @@
 // apply applies one document of a watch or, if w is nil, of another source. From then on no attempt starts at
 // a server that the document takes out of service. Once a watch has delivered a document, those of older
 // watches are ignored. A change whose index is below the list's is applied, but errIndexDecreased is
-// returned, because other changes may be unknown.
+// returned with it, because the changes between the two indexes are unknown.
 func (t *table) apply(w *watch, raw []byte) (full bool, list []dispatch.Server, err error) {
 	doc, err := parseDocument(raw)
 	if err != nil {
@@ -174,7 +174,8 @@
 func (t *table) applyEndpoint(e *serverlist.Endpoint) dispatch.Server {
 	s := dispatch.Server{
 		ID: t.serverID(e.Name), Zone: indexOrAppend(&t.names.Zones, e.Zone),
-		Kind: indexOrAppend(&t.names.Kinds, e.Type), Cell: e.Group, State: stateByStatus[e.Status], Rating: e.Weight,
+		Kind: indexOrAppend(&t.names.Kinds, e.Type), Cell: e.Group, State: stateByStatus[e.Status],
+		Rating:  e.Weight,
 		Started: time.Duration(math.Round(e.SinceMS*1000)) * time.Microsecond,
 	}
 	t.endpoints[e.Name] = *e
