--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -15,11 +15,10 @@
 	"cresshub/internal/testbed/goldenfile"
 )
 
-// goldenTimeout bounds what the golden test waits for on a connection; no result depends on how much of it is
-// used.
+// goldenTimeout bounds each wait of the golden test; the results don't depend on it.
 const goldenTimeout = 10 * time.Second
 
-// goldenPair is both ends of a connection within this process, on which no read or write outlasts
+// goldenPair returns both ends of a connection within this process, whose reads and writes time out after
 // goldenTimeout.
 func goldenPair(t *testing.T) (ends [2]*net.UnixConn) {
 	t.Helper()
@@ -43,16 +42,16 @@
 	return ends
 }
 
-// goldenIncumbent hands over a socket that nobody connects to.
+// goldenIncumbent is an Incumbent that passes a fixed state and a socket that no client connects to.
 type goldenIncumbent struct {
-	terms         State
+	state         State
 	l             *net.UnixListener
 	ready, exited chan struct{}
 }
 
-func (o *goldenIncumbent) SuccessorJoined() (State, syscall.Conn, error) { return o.terms, o.l, nil }
-func (o *goldenIncumbent) SuccessorReady()                               { close(o.ready) }
-func (o *goldenIncumbent) SuccessorExited()                              { close(o.exited) }
+func (i *goldenIncumbent) SuccessorJoined() (State, syscall.Conn, error) { return i.state, i.l, nil }
+func (i *goldenIncumbent) SuccessorReady()                               { close(i.ready) }
+func (i *goldenIncumbent) SuccessorExited()                              { close(i.exited) }
 
 func newGoldenIncumbent(t *testing.T) *goldenIncumbent {
 	t.Helper()
@@ -67,45 +66,45 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	return &goldenIncumbent{l: l, ready: make(chan struct{}), exited: make(chan struct{}),
-		terms: State{ServerList: []byte(`{"index":7}`), DiscoveryAddress: "discovery.example:9"}}
+		state: State{ServerList: []byte(`{"index":7}`), DiscoveryAddress: "discovery.example:9"}}
 }
 
-// What the incumbent sends, and the one byte that the successor sends. The socket comes as a descriptor,
-// whose number is the kernel's.
+// Compares the state that the incumbent sends and the byte that the successor sends with the golden files,
+// byte for byte. The passed descriptor is not compared, because the kernel chooses its number.
 func TestGoldenMessagesOfBothSidesAreReadAndWrittenByteForByte(t *testing.T) {
-	s := newGoldenIncumbent(t)
-	goldenfile.CheckJSON(t, "terms.json", s.terms)
+	incumbent := newGoldenIncumbent(t)
+	goldenfile.CheckJSON(t, "terms.json", incumbent.state)
 
-	// The incumbent, as this program writes, and a successor that sends the byte of the file.
+	// This program as the incumbent; the test is the successor, which sends the byte in new.bin below.
 	ends := goldenPair(t)
-	go serveSuccessor(ends[0], s)
-	said := make([]byte, 4096)
+	go serveSuccessor(ends[0], incumbent)
+	sent := make([]byte, 4096)
 	rights := make([]byte, unix.CmsgSpace(4))
-	n, oob, _, _, err := ends[1].ReadMsgUnix(said[:4], rights)
+	n, oob, _, _, err := ends[1].ReadMsgUnix(sent[:4], rights)
 	if err != nil || n != 4 {
-		t.Fatalf("%d bytes of the length, %v", n, err)
+		t.Fatalf("received %d bytes of the length, %v", n, err)
 	}
 	msgs, err := unix.ParseSocketControlMessage(rights[:oob])
 	if err != nil || len(msgs) != 1 {
-		t.Fatalf("%d control messages, %v", len(msgs), err)
+		t.Fatalf("received %d control messages, %v", len(msgs), err)
 	}
 	fds, err := unix.ParseUnixRights(&msgs[0])
 	if err != nil || len(fds) != 1 {
-		t.Fatalf("%d sockets, %v", len(fds), err)
+		t.Fatalf("received %d sockets, %v", len(fds), err)
 	}
 	unix.Close(fds[0])
-	length := int(binary.BigEndian.Uint32(said))
-	if length > len(said)-4 {
-		t.Fatalf("the incumbent announces terms of %d bytes", length)
+	length := int(binary.BigEndian.Uint32(sent))
+	if length > len(sent)-4 {
+		t.Fatalf("the incumbent announces a state of %d bytes", length)
 	}
-	if _, err := io.ReadFull(ends[1], said[4:4+length]); err != nil {
+	if _, err := io.ReadFull(ends[1], sent[4:4+length]); err != nil {
 		t.Fatal(err)
 	}
-	old := goldenfile.CheckBytes(t, "old.bin", said[:4+length])
+	old := goldenfile.CheckBytes(t, "old.bin", sent[:4+length])
 
-	// The successor, as this program reads and writes, and an incumbent that sends the file.
+	// This program as the successor; the test is the incumbent, which sends old.bin.
 	pair := goldenPair(t)
-	raw, err := s.l.SyscallConn()
+	raw, err := incumbent.l.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,41 +116,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The file is all that comes: a length in it that is too large fails the read at once.
+	// Nothing follows the file, so that a length in it that is too large makes the read fail at once.
 	if err := pair[0].CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	o := &Predecessor{conn: pair[1], exited: make(chan struct{})}
-	if err := o.receiveState(); err != nil {
+	predecessor := &Predecessor{conn: pair[1], exited: make(chan struct{})}
+	if err := predecessor.receiveState(); err != nil {
 		t.Fatal(err)
 	}
-	defer o.Listener.Close()
-	goldenfile.CheckDecoded(t, "old.bin", o.State, s.terms)
-	if err := o.SendReady(); err != nil {
+	defer predecessor.Listener.Close()
+	goldenfile.CheckDecoded(t, "old.bin", predecessor.State, incumbent.state)
+	if err := predecessor.SendReady(); err != nil {
 		t.Fatal(err)
 	}
-	o.Close()
-	word, err := io.ReadAll(pair[0])
+	predecessor.Close()
+	message, err := io.ReadAll(pair[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ends[1].Write(goldenfile.CheckBytes(t, "new.bin", word)); err != nil {
+	if _, err := ends[1].Write(goldenfile.CheckBytes(t, "new.bin", message)); err != nil {
 		t.Fatal(err)
 	}
 	ends[1].Close()
 	select {
-	case <-s.exited:
+	case <-incumbent.exited:
 	case <-time.After(goldenTimeout):
 		t.Fatal("the incumbent does not notice that the successor has exited")
 	}
 	select {
-	case <-s.ready:
+	case <-incumbent.ready:
 	default:
-		t.Error("new.bin: the incumbent does not take it for the byte by which a successor is ready")
+		t.Error("new.bin: the incumbent does not accept it as the message that the successor is ready")
 	}
 }
 
-// Where both processes meet: a file's name by the address.
-func TestGoldenPathIsTheSameForAnAddress(t *testing.T) {
+// Both processes derive the name of the socket file from the address, so it must not change.
+func TestGoldenSocketPath(t *testing.T) {
 	goldenfile.CheckBytes(t, "path.txt", []byte(SocketPath("run", "127.0.0.1:8080")))
 }
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -14,18 +14,19 @@
 
 const testTimeout = 20 * time.Second
 
+// fakeIncumbent is an Incumbent that passes l and reports the calls of its methods on channels.
 type fakeIncumbent struct {
 	l             *net.TCPListener
 	ready, exited chan bool
 }
 
-func (s *fakeIncumbent) SuccessorJoined() (State, syscall.Conn, error) {
-	return State{ServerList: []byte(`{"index":7}`)}, s.l, nil
+func (i *fakeIncumbent) SuccessorJoined() (State, syscall.Conn, error) {
+	return State{ServerList: []byte(`{"index":7}`)}, i.l, nil
 }
-func (s *fakeIncumbent) SuccessorReady()  { s.ready <- true }
-func (s *fakeIncumbent) SuccessorExited() { s.exited <- true }
+func (i *fakeIncumbent) SuccessorReady()  { i.ready <- true }
+func (i *fakeIncumbent) SuccessorExited() { i.exited <- true }
 
-// listen opens a listener whose address other sockets may share.
+// listen opens a listener with SO_REUSEPORT, so that other listeners can use the same address.
 func listen(t *testing.T, address string) *net.TCPListener {
 	t.Helper()
 	l, err := (&net.ListenConfig{Control: ReusePort}).Listen(t.Context(), "tcp", address)
@@ -36,177 +37,180 @@
 	return l.(*net.TCPListener)
 }
 
-func offer(t *testing.T, path string) *fakeIncumbent {
+// serveIncumbent starts an incumbent that accepts successors at path until the test ends.
+func serveIncumbent(t *testing.T, path string) *fakeIncumbent {
 	t.Helper()
-	s := &fakeIncumbent{listen(t, "127.0.0.1:0"), make(chan bool, 1), make(chan bool, 1)}
-	o, err := Listen(path)
+	incumbent := &fakeIncumbent{listen(t, "127.0.0.1:0"), make(chan bool, 1), make(chan bool, 1)}
+	listener, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go o.Serve(s)
-	t.Cleanup(o.Close)
-	return s
+	go listener.Serve(incumbent)
+	t.Cleanup(listener.Close)
+	return incumbent
 }
 
-// join is the successor; the test closes what it took over.
+// join connects to the incumbent as a successor. The connection and the listener are closed when the test
+// ends.
 func join(t *testing.T, path string) *Predecessor {
 	t.Helper()
-	o, err := Join(path, testTimeout)
-	if err != nil || o == nil {
-		t.Fatalf("%v, %v", o, err)
+	p, err := Join(path, testTimeout)
+	if err != nil || p == nil {
+		t.Fatalf("%v, %v", p, err)
 	}
-	t.Cleanup(func() { o.Close(); o.Listener.Close() })
-	return o
+	t.Cleanup(func() { p.Close(); p.Listener.Close() })
+	return p
 }
 
-func wait[T any](t *testing.T, what string, c <-chan T) {
+// wait waits until something is received from c, or c is closed; event describes it in the failure message.
+func wait[T any](t *testing.T, event string, c <-chan T) {
 	t.Helper()
 	select {
 	case <-c:
 	case <-time.After(testTimeout):
-		t.Fatalf("never: %s", what)
+		t.Fatalf("timed out waiting for: %s", event)
 	}
 }
 
-// What connected before the incumbent closed its listener is still there for the successor, also where the
-// path is too long for a Unix address.
-func TestSuccessorGetsTheSameSocket(t *testing.T) {
+// A client that connected before the incumbent closed its listener is accepted by the successor, even if the
+// path is too long for the address of a Unix socket.
+func TestSuccessorSharesListeningSocket(t *testing.T) {
 	for _, dir := range []string{"", strings.Repeat("long/", 30)} {
 		dir = filepath.Join(t.TempDir(), dir)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
 		path := SocketPath(dir, "127.0.0.1:1")
-		s := offer(t, path)
-		o := join(t, path)
-		if o.Listener.Addr().String() != s.l.Addr().String() || string(o.ServerList) != `{"index":7}` {
-			t.Errorf("%v, %s", o.Listener.Addr(), o.ServerList)
+		incumbent := serveIncumbent(t, path)
+		p := join(t, path)
+		if p.Listener.Addr().String() != incumbent.l.Addr().String() || string(p.ServerList) != `{"index":7}` {
+			t.Errorf("%v, %s", p.Listener.Addr(), p.ServerList)
 		}
-		early, err := net.Dial("tcp", s.l.Addr().String())
+		client, err := net.Dial("tcp", incumbent.l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := o.SendReady(); err != nil {
+		if err := p.SendReady(); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, "the incumbent sees that the successor is ready", s.ready)
-		s.l.Close()
-		c, err := o.Listener.Accept()
-		if err != nil || c.RemoteAddr().String() != early.LocalAddr().String() {
+		wait(t, "the incumbent sees that the successor is ready", incumbent.ready)
+		incumbent.l.Close()
+		c, err := p.Listener.Accept()
+		if err != nil || c.RemoteAddr().String() != client.LocalAddr().String() {
 			t.Errorf("%v, %v", c, err)
 		}
-		o.Close()
-		wait(t, "the incumbent sees that the successor exited", s.exited)
+		p.Close()
+		wait(t, "the incumbent sees that the successor exited", incumbent.exited)
 	}
 }
 
-func TestBothSidesSeeTheConnectionEnd(t *testing.T) {
+func TestBothSidesNoticeEndOfConnection(t *testing.T) {
 	path := SocketPath(t.TempDir(), "a")
-	s := offer(t, path)
-	o := join(t, path)
-	o.conn.CloseWrite() // as the exit of this process looks to the incumbent, which then closes
-	wait(t, "left", s.exited)
-	wait(t, "gone", o.Exited())
+	incumbent := serveIncumbent(t, path)
+	p := join(t, path)
+	p.conn.CloseWrite() // looks like an exit to the incumbent, which then closes the connection
+	wait(t, "left", incumbent.exited)
+	wait(t, "gone", p.Exited())
 }
 
-// An incumbent that is killed anywhere while it passes its socket gives the successor an error at once; a
-// successor that exits after it was ready leaves the incumbent for the next one.
-func TestEitherSideMayBeKilledAtAnyPoint(t *testing.T) {
-	for _, sent := range []int{0, 2, 4, 9} { // of the size and the terms, the socket with the first byte
+// If the incumbent is killed at any point while it passes its socket, Join returns an error at once. If a
+// successor exits after it was ready, the incumbent accepts the next successor.
+func TestEitherSideKilledDuringHandover(t *testing.T) {
+	for _, sent := range []int{0, 2, 4, 9} { // bytes of length and state; the first passes the socket
 		path := SocketPath(t.TempDir(), "a")
-		o, err := Listen(path)
+		listener, err := Listen(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		socket := listen(t, "127.0.0.1:0")
 		go func() {
-			c, err := o.listener.AcceptUnix()
+			c, err := listener.listener.AcceptUnix()
 			if err != nil {
 				return
 			}
 			defer c.Close()
 			raw, _ := socket.SyscallConn()
 			raw.Control(func(fd uintptr) {
-				if text := append([]byte{0, 0, 0, 20}, `{"known":{"index":7}}`[:20]...); sent > 0 {
-					c.WriteMsgUnix(text[:sent], unix.UnixRights(int(fd)), nil)
+				if message := append([]byte{0, 0, 0, 20}, `{"known":{"index":7}}`[:20]...); sent > 0 {
+					c.WriteMsgUnix(message[:sent], unix.UnixRights(int(fd)), nil)
 				}
 			})
 		}()
-		began := time.Now()
-		if old, err := Join(path, testTimeout); old != nil || err == nil || time.Since(began) > testTimeout/2 {
-			t.Errorf("killed after %d bytes: %v, %v after %v", sent, old, err, time.Since(began))
+		start := time.Now()
+		if p, err := Join(path, testTimeout); p != nil || err == nil || time.Since(start) > testTimeout/2 {
+			t.Errorf("killed after %d bytes: %v, %v after %v", sent, p, err, time.Since(start))
 		}
-		o.Close()
+		listener.Close()
 	}
 	path := SocketPath(t.TempDir(), "b")
-	s := offer(t, path)
+	incumbent := serveIncumbent(t, path)
 	for range 2 {
-		o := join(t, path)
-		if err := o.SendReady(); err != nil {
+		p := join(t, path)
+		if err := p.SendReady(); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, "it serves", s.ready)
-		o.Close()
-		wait(t, "it left", s.exited)
+		wait(t, "the incumbent sees that the successor is ready", incumbent.ready)
+		p.Close()
+		wait(t, "the incumbent sees that the successor exited", incumbent.exited)
 	}
 	join(t, path)
 }
 
-func TestSocketFileOfAKilledProcessCountsAsNone(t *testing.T) {
+func TestJoinIgnoresSocketFileOfKilledProcess(t *testing.T) {
 	path := SocketPath(t.TempDir(), "a")
-	if o, err := Join(path, testTimeout); o != nil || err != nil {
-		t.Errorf("nothing there: %v, %v", o, err)
+	if p, err := Join(path, testTimeout); p != nil || err != nil {
+		t.Errorf("without a file: %v, %v", p, err)
 	}
-	dead, err := Listen(path)
+	killed, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead.listener.Close() // and the file stays, as where it was killed
-	if o, err := Join(path, testTimeout); o != nil || err != nil {
-		t.Errorf("a dead one: %v, %v", o, err)
+	killed.listener.Close() // the file remains, as when the process is killed
+	if p, err := Join(path, testTimeout); p != nil || err != nil {
+		t.Errorf("the file of a killed process: %v, %v", p, err)
 	}
-	dead.Close()
+	killed.Close()
 	if _, err := os.Lstat(path); err == nil {
-		t.Error("a file is left behind")
+		t.Error("Close does not remove the socket file")
 	}
 	if err := os.WriteFile(path+".0", nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	offer(t, path)
+	serveIncumbent(t, path)
 	join(t, path)
 }
 
-func TestJoinGivesUpOnASilentIncumbent(t *testing.T) {
+func TestJoinTimesOut(t *testing.T) {
 	path := SocketPath(t.TempDir(), "a")
-	o, err := Listen(path)
+	listener, err := Listen(path) // without Serve: it never sends its state
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer o.Close()
-	if old, err := Join(path, 50*time.Millisecond); old != nil || err == nil {
-		t.Errorf("%v, %v", old, err)
+	defer listener.Close()
+	if p, err := Join(path, 50*time.Millisecond); p != nil || err == nil {
+		t.Errorf("%v, %v", p, err)
 	}
 }
 
-func TestFileThatIsNoSocketCountsAsNone(t *testing.T) {
+func TestJoinIgnoresFileThatIsNoSocket(t *testing.T) {
 	path := SocketPath(t.TempDir(), "a")
 	if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if o, err := Join(path, testTimeout); o != nil || err != nil {
-		t.Errorf("a file that is no socket: %v, %v", o, err)
+	if p, err := Join(path, testTimeout); p != nil || err != nil {
+		t.Errorf("a file that is no socket: %v, %v", p, err)
 	}
-	offer(t, path)
+	serveIncumbent(t, path)
 	join(t, path)
 }
 
-// Why the socket is passed: of the connections that wait to be accepted when the incumbent closes its
-// listener, those in a queue of its own are lost, those in a shared one are not.
-func TestConnectionsInTheSharedQueueSurvive(t *testing.T) {
-	const waiting = 64 // each falls into either queue by chance
+// The reason for passing the socket: connections that wait to be accepted when the incumbent closes its
+// listener are lost if they are in the queue of its own socket, but not if the successor shares the socket.
+func TestConnectionsInSharedQueueSurvive(t *testing.T) {
+	const waiting = 64 // with two sockets, the kernel puts each connection into either queue at random
 	for _, passed := range []bool{true, false} {
 		path := SocketPath(t.TempDir(), "a")
-		old := offer(t, path).l
+		old := serveIncumbent(t, path).l
 		next := net.Listener(nil)
 		if passed {
 			next = join(t, path).Listener
@@ -222,28 +226,29 @@
 		}
 		old.Close()
 		limit := testTimeout
-		if !passed { // some never come
+		if !passed { // lost connections never arrive
 			limit = 500 * time.Millisecond
 		}
 		next.(*net.TCPListener).SetDeadline(time.Now().Add(limit))
-		kept := 0
-		for kept < waiting {
+		accepted := 0
+		for accepted < waiting {
 			c, err := next.Accept()
 			if err != nil {
 				break
 			}
 			defer c.Close()
-			kept++
+			accepted++
 		}
-		t.Logf("passed %v: %d of %d that waited are lost", passed, waiting-kept, waiting)
-		if passed != (kept == waiting) {
-			t.Errorf("passed %v: %d of %d that waited are kept", passed, kept, waiting)
+		t.Logf("socket passed %v: %d of %d waiting connections are lost", passed, waiting-accepted, waiting)
+		if passed != (accepted == waiting) {
+			t.Errorf("socket passed %v: %d of %d waiting connections are accepted", passed, accepted, waiting)
 		}
 	}
 }
 
-// A socket file that can't be looked at is an error: whether a process serves there is not known.
-func TestSocketFileThatCannotBeLookedAtIsAnError(t *testing.T) {
+// Join returns an error if it can't stat the socket file, because it is unknown whether a process serves
+// there.
+func TestJoinReturnsStatError(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
--- a/internal/proxy/handover/incumbent.go
+++ b/internal/proxy/handover/incumbent.go
@@ -14,31 +14,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// Incumbent is the process that serves the address, as a SuccessorListener sees it. Its methods are called from one
-// goroutine for each successor.
+// Incumbent is implemented by the process that serves the address. Each successor has a goroutine that calls
+// the methods.
 type Incumbent interface {
-	// SuccessorJoined returns the terms and the listening socket for a process that has connected; it may wait.
+	// SuccessorJoined returns the state and the listening socket for a successor that has connected. It may
+	// block.
 	SuccessorJoined() (State, syscall.Conn, error)
-	// SuccessorReady is called when that process accepts clients.
+	// SuccessorReady is called when the successor accepts clients.
 	SuccessorReady()
-	// SuccessorExited is called when its connection has ended; it follows each SuccessorJoined without error.
+	// SuccessorExited is called when the successor's connection has ended, once after each SuccessorJoined that
+	// returned no error.
 	SuccessorExited()
 }
 
-// SuccessorListener is the Unix socket by which successors find this process.
+// SuccessorListener accepts connections of successors on a Unix socket.
 type SuccessorListener struct {
 	listener   *net.UnixListener
 	path       string
-	socketFile os.FileInfo // of the socket that this process made at path
+	socketFile os.FileInfo // the socket file that this process created at path
 }
 
-// Listen makes this process the one that successors find at path, in place of any other process.
+// Listen listens for successors on a Unix socket at path, in place of any process that has listened there.
 func Listen(path string) (*SuccessorListener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	address, release, err := shortPath(temporary)
+	address, release, err := shortenPath(temporary)
 	if err != nil {
 		return nil, err
 	}
@@ -47,8 +49,8 @@
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then a successor's socket may have this name
-	// The rename replaces another process's socket atomically, and only once this one listens.
+	l.SetUnlinkOnClose(false) // the file may be a successor's socket by then
+	// The rename replaces another process's socket file atomically, and only after this process listens.
 	if err := os.Rename(temporary, path); err != nil {
 		return nil, errors.Join(err, l.Close(), os.Remove(temporary))
 	}
@@ -59,8 +61,8 @@
 	return &SuccessorListener{l, path, socketFile}, nil
 }
 
-// Close ends Serve and removes the socket's file, unless a successor has replaced it by its own. Errors are
-// ignored: a file that stays refuses connections, which Join takes for no process.
+// Close ends Serve and removes the socket file, unless a successor has replaced it by its own. Errors are
+// ignored: connections to a file that remains are refused, which Join treats like a missing file.
 func (o *SuccessorListener) Close() {
 	_ = o.listener.Close()
 	if file, err := os.Lstat(o.path); err == nil && os.SameFile(file, o.socketFile) {
@@ -68,7 +70,7 @@
 	}
 }
 
-// Serve accepts successors until Close.
+// Serve accepts connections of successors until Close.
 func (o *SuccessorListener) Serve(incumbent Incumbent) {
 	for {
 		c, err := o.listener.AcceptUnix()
@@ -79,31 +81,31 @@
 	}
 }
 
-// serveSuccessor sends one successor the terms and watches its connection until it exits. An error ends the
-// handover to this successor only.
+// serveSuccessor sends the state and the socket to one successor and reads from its connection until it
+// exits. An error ends the handover to this successor only.
 func serveSuccessor(c *net.UnixConn, incumbent Incumbent) {
-	defer func() { _ = c.Close() }() // nothing unsent can be lost: the successor has all, or has exited
+	defer func() { _ = c.Close() }() // no data can be lost: the successor has all, or has exited
 	if checkPeerUser(c) != nil {
 		return
 	}
-	terms, socket, err := incumbent.SuccessorJoined()
+	state, socket, err := incumbent.SuccessorJoined()
 	if err != nil {
 		return
 	}
 	defer incumbent.SuccessorExited()
-	if sendState(c, terms, socket) != nil {
+	if sendState(c, state, socket) != nil {
 		return
 	}
 	var message [1]byte
 	if _, err := io.ReadFull(c, message[:]); err == nil && message[0] == readyByte {
 		incumbent.SuccessorReady()
-		_, _ = io.Copy(io.Discard, c) // however the connection ends, the successor has exited
+		_, _ = io.Copy(io.Discard, c) // whatever ends the connection, the successor has exited
 	}
 }
 
-// sendState writes the terms, with the socket as a control message of their first byte.
-func sendState(c *net.UnixConn, terms State, socket syscall.Conn) error {
-	text, err := json.Marshal(terms)
+// sendState writes the state and passes the socket in a control message with its first byte.
+func sendState(c *net.UnixConn, state State, socket syscall.Conn) error {
+	encoded, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
@@ -115,9 +117,9 @@
 		return err
 	}
 	controlErr := raw.Control(func(fd uintptr) {
-		size := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
+		size := binary.BigEndian.AppendUint32(nil, uint32(len(encoded)))
 		if _, _, err = c.WriteMsgUnix(size, unix.UnixRights(int(fd)), nil); err == nil {
-			_, err = c.Write(text)
+			_, err = c.Write(encoded)
 		}
 	})
 	if controlErr != nil {
--- a/internal/proxy/handover/successor.go
+++ b/internal/proxy/handover/successor.go
@@ -14,24 +14,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Predecessor is, to a successor, the process that has served the address so far.
+// Predecessor is the process that has served the address so far, from the successor's point of view.
 type Predecessor struct {
 	State
-	Listener net.Listener // the predecessor's own socket, shared
+	Listener net.Listener // shares the predecessor's listening socket
 	conn     *net.UnixConn
 	exited   chan struct{} // closed when conn has ended
 }
 
-// Join takes the listening socket over from the process that serves at path, within the timeout. It returns
-// nil and no error where there is no such process; a socket file that a killed process left behind counts as
-// none.
+// Join takes over the listening socket from the process that listens for successors at path, within the
+// timeout. It returns nil and no error if there is no such process, including if path is a socket file that a
+// killed process has left behind.
 func Join(path string, timeout time.Duration) (*Predecessor, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	} else if err != nil {
-		return nil, err // nobody knows whether there is one
+		return nil, err // it is unknown whether there is such a process
 	}
-	address, release, err := shortPath(path)
+	address, release, err := shortenPath(path)
 	if err != nil {
 		return nil, err
 	}
@@ -51,13 +51,13 @@
 	}
 	conn.SetDeadline(time.Time{})
 	go func() {
-		_, _ = io.Copy(io.Discard, conn) // however the connection ends, the predecessor has exited
+		_, _ = io.Copy(io.Discard, conn) // whatever ends the connection, the predecessor has exited
 		close(p.exited)
 	}()
 	return p, nil
 }
 
-// receiveState reads the terms and the socket that comes with their first byte.
+// receiveState reads the state and the listening socket, which is passed with the first byte.
 func (p *Predecessor) receiveState() error {
 	if err := checkPeerUser(p.conn); err != nil {
 		return err
@@ -78,40 +78,41 @@
 	}
 	length := binary.BigEndian.Uint32(size[:])
 	if length > maxStateBytes {
-		return fmt.Errorf("terms of %d bytes", length)
+		return fmt.Errorf("announced state of %d bytes is too large", length)
 	}
-	text := make([]byte, length)
-	if _, err := io.ReadFull(p.conn, text); err != nil {
+	encoded := make([]byte, length)
+	if _, err := io.ReadFull(p.conn, encoded); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(text, &p.State); err != nil {
+	if err := json.Unmarshal(encoded, &p.State); err != nil {
 		return err
 	}
 	p.Listener, err = net.FileListener(file)
 	return err
 }
 
-// receivedSocket returns the one socket that came as a control message. The caller closes it.
+// receivedSocket returns the socket that was passed in the control messages, of which there must be one with
+// one socket. The caller closes it.
 func receivedSocket(rights []byte) (*os.File, error) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
-		return nil, fmt.Errorf("no socket came with the terms: %w", err)
+		return nil, fmt.Errorf("parse control message of the listening socket: %w", err)
 	}
 	if len(messages) != 1 {
-		return nil, fmt.Errorf("%d control messages came with the terms", len(messages))
+		return nil, fmt.Errorf("received %d control messages, want one", len(messages))
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil {
-		return nil, fmt.Errorf("no socket came with the terms: %w", err)
+		return nil, fmt.Errorf("parse descriptors of the listening socket: %w", err)
 	}
 	if len(fds) != 1 {
-		return nil, fmt.Errorf("%d sockets came with the terms", len(fds))
+		return nil, fmt.Errorf("received %d sockets, want one", len(fds))
 	}
 	unix.CloseOnExec(fds[0])
 	return os.NewFile(uintptr(fds[0]), "listener"), nil
 }
 
-// SendReady tells the predecessor that this process accepts clients.
+// SendReady notifies the predecessor that this process accepts clients.
 func (p *Predecessor) SendReady() error {
 	if err := p.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -120,8 +121,8 @@
 	return err
 }
 
-// Exited is closed when the predecessor has ended.
+// Exited returns a channel that is closed when the predecessor has exited.
 func (p *Predecessor) Exited() <-chan struct{} { return p.exited }
 
-// Close closes the connection, by which the predecessor takes this process to have exited.
-func (p *Predecessor) Close() { _ = p.conn.Close() } // nothing is left to be written
+// Close closes the connection, which the predecessor takes as the exit of this process.
+func (p *Predecessor) Close() { _ = p.conn.Close() } // its error is ignored: no data is left to be written
