--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -97,7 +97,7 @@
 	address       string
 	current       *watch // the watch at address; nil while there is none
 	previous      *watch // the watch at the previous address, open until current has delivered the full list
-	needsFullList bool   // no full list has come from address yet
+	needsFullList bool   // the full list is needed from address before its changes can be used
 	watchCount    int64  // number of watches opened so far
 	quickReopens  int    // watches reopened within TimeoutReopenDelay since one timed out
 	retries       int    // failed calls since the change of address or since a watch last delivered a document
--- a/internal/proxy/discovery/run.go
+++ b/internal/proxy/discovery/run.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// handleFullList handles a watch that has delivered its full list: it stops the watch at the previous
-// address.
+// handleFullList handles a watch that has delivered its full list. After a change of address it stops the
+// watch at the previous address.
 func (c *Client) handleFullList(w *watch) {
 	if w != c.current {
 		return
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -78,7 +78,8 @@
 func (a *Attempt) Cancel() { a.cancel() }
 
 // CancelIfPending aborts the attempt if none of its bytes has been written. It is called when the request has
-// ended: an attempt that no server has received need not be sent any more.
+// ended: an attempt that no server has received must not be sent any more, and there is nothing to cancel at
+// a server. An attempt that has started continues.
 func (a *Attempt) CancelIfPending() {
 	if a.state.CompareAndSwap(attemptPending, attemptCancelled) {
 		a.cancel()
@@ -133,7 +134,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return dispatch.TimedOut
 	case errors.As(err, new(*http1.MalformedError)):
-		// The server is reachable and has sent a response, so a malformed one doesn't count as a broken
+		// The server is reachable and has read the request, so one malformed response doesn't count as a broken
 		// connection, for which the server could be ejected.
 		return a.cancelledOr(dispatch.ErrorResponse)
 	}
