--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -64,7 +64,8 @@
 		return fmt.Errorf("listen.address: %w", err)
 	}
 	if dir != "" {
-		state.socketPath = handover.SocketPath(dir, p.Address()) // with the port that the system has chosen for port 0
+		// With the port that the system has chosen for port 0.
+		state.socketPath = handover.SocketPath(dir, p.Address())
 	}
 	return nil
 }
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -86,7 +86,8 @@
 	budget, room, count := descriptors.NewBudget(200, 0.6, 0.9), bodybudget.NewBudget(1<<20), stats.New(
 		[]string{"lookup", "assign"})
 	wait := nettest.Patience
-	limits := upstream.Limits{DialTimeout: wait, MaxIdle: wait, ProbeTimeout: wait, BufferTime: time.Second, StallTimeout: wait}
+	limits := upstream.Limits{DialTimeout: wait, MaxIdle: wait, ProbeTimeout: wait,
+		BufferTime: time.Second, StallTimeout: wait}
 	clock, done := stallclock.New(nil), make(chan struct{})
 	go clock.Run(done)
 	tb.Cleanup(func() { close(done) })
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -61,8 +61,8 @@
 	return n, err
 }
 
-// MarkSent says that the last byte is sent: the request's time begins. It returns until when the response is
-// waited for.
+// MarkSent says that the last byte is sent: the request's time begins. It returns the deadline for the
+// response.
 func (u attemptUpload) MarkSent() time.Time {
 	if u.server.onBodySent != nil {
 		u.server.onBodySent()
