--- a/internal/proxy/daemon/roles.go
+++ b/internal/proxy/daemon/roles.go
@@ -30,7 +30,7 @@
 
 // Feed changes where the list comes from.
 func (s endpointSource) Feed(f leaseholder.Feed) {
-	s.Client.Feed(discovery.Feed{ReplaceOnly: f.FromOwner, Token: f.Token})
+	s.Client.SetFeed(discovery.Feed{ReplaceOnly: f.FromOwner, Token: f.Token})
 }
 
 // runRoles has this proxy compete for the fleet's singleton roles that owner.chores names.
--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -142,9 +142,9 @@
 // Replace applies a full list from another source, in the registry's format; it returns at once.
 func (c *Client) Replace(raw []byte) { replaceLast(c.replacements, raw) }
 
-// Feed changes where lists come from; it returns at once. Calls in flight that have another token, or that
+// SetFeed changes where lists come from; it returns at once. Calls in flight that have another token, or that
 // are not wanted any more, are cancelled.
-func (c *Client) Feed(f Feed) { replaceLast(c.feedChanges, f) }
+func (c *Client) SetFeed(f Feed) { replaceLast(c.feedChanges, f) }
 
 // replaceLast sends a request on a channel of capacity one and discards an earlier request that has not been
 // received yet.
