--- a/internal/proxy/daemon/admin.go
+++ b/internal/proxy/daemon/admin.go
@@ -43,7 +43,7 @@
 func (p *Proxy) Gauges() map[string]int {
 	known := p.discovery.NumListed()
 	return map[string]int{
-		"known_zone_servers": known,
+		"known_zone_servers":   known,
 		"skipped_zone_servers": known - p.discovery.NumInService() + p.decider.Ejected(),
 	}
 }
--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -5,8 +5,8 @@
 // that the registry keeps open and on which it sends changes, like Consul's watches. A watch continues from
 // the index of the list. It begins with a full list where that index means nothing: after a change of
 // address, or after the registry's index has decreased. Only Run opens and closes watches; Follow,
-// ChangeAddress, Replace and Feed pass it a request and return at once. All exported methods except Run may
-// be called from any goroutine; the list (table) has a lock of its own.
+// ChangeAddress, Replace and SetFeed pass it a request and return at once. All exported methods except Run
+// may be called from any goroutine; the list (table) has a lock of its own.
 //
 // A drain takes effect from the moment the registry has it, whether or not a watch has delivered it. So a
 // watch on which nothing arrives for too long is closed and reopened soon, to get the changes that it may
--- a/internal/proxy/handover/incumbent.go
+++ b/internal/proxy/handover/incumbent.go
@@ -63,17 +63,17 @@
 
 // Close ends Serve and removes the socket file, unless a successor has replaced it by its own. Errors are
 // ignored: connections to a file that remains are refused, which Join treats like a missing file.
-func (o *SuccessorListener) Close() {
-	_ = o.listener.Close()
-	if file, err := os.Lstat(o.path); err == nil && os.SameFile(file, o.socketFile) {
-		_ = os.Remove(o.path)
+func (l *SuccessorListener) Close() {
+	_ = l.listener.Close()
+	if file, err := os.Lstat(l.path); err == nil && os.SameFile(file, l.socketFile) {
+		_ = os.Remove(l.path)
 	}
 }
 
 // Serve accepts connections of successors until Close.
-func (o *SuccessorListener) Serve(incumbent Incumbent) {
+func (l *SuccessorListener) Serve(incumbent Incumbent) {
 	for {
-		c, err := o.listener.AcceptUnix()
+		c, err := l.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
