--- a/internal/proxy/upstream/buffer.go
+++ b/internal/proxy/upstream/buffer.go
@@ -9,8 +9,8 @@
 	"cresshub/internal/http1"
 )
 
-// streamWaitFactor is the number of Limits.BufferTime, counted from the end of the response's head, after
-// which a response of unknown length is streamed although its next bytes have not arrived.
+// streamWaitFactor times Limits.BufferTime is how long after its head a response of unknown length is
+// buffered if its next bytes don't arrive. Then it is streamed.
 const streamWaitFactor = 4
 
 // responseBuffer reads the buffered part of a response's body: all of a small body, the start of one that is
--- a/internal/proxy/upstream/reuse_test.go
+++ b/internal/proxy/upstream/reuse_test.go
@@ -14,8 +14,9 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// A duplicate response that arrives after the next request has been sent must not be taken for the response
-// to that request: a connection is not reused until Limits.DuplicateGuard has passed.
+// A duplicate response that arrives some milliseconds late, when the next request has already been sent, must
+// not be taken for the response to that request: a connection is not reused until it has been idle for
+// Limits.DuplicateGuard.
 func TestLateDuplicateResponse(t *testing.T) {
 	second := make(chan bool)     // closed when the second request has arrived
 	accepted := make(chan int, 1) // number of connections accepted so far
@@ -64,6 +65,8 @@
 	}
 }
 
+// A connection is not reused for a request until it has been idle for Limits.DuplicateGuard, except after a
+// probe.
 func TestReuseWaitsForDuplicateGuard(t *testing.T) {
 	server := nettest.Serve(t, func(*http1.Request) *http1.Response { return nettest.OK("") })
 	p := newPool(&fakeDirectory{address: server.Address}, time.Hour)
@@ -100,12 +103,20 @@
 		"nothing": func(*Pool, *conn, *connbuffer.Conn) {},
 		"closed":  func(_ *Pool, _ *conn, serverConn *connbuffer.Conn) { serverConn.Close() },
 		"noise":   func(_ *Pool, _ *conn, serverConn *connbuffer.Conn) { io.WriteString(serverConn, "x") },
-		"a late answer": func(_ *Pool, _ *conn, serverConn *connbuffer.Conn) {
+		"a late response": func(_ *Pool, _ *conn, serverConn *connbuffer.Conn) {
 			io.WriteString(serverConn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 		},
-		"too old":   func(_ *Pool, c *conn, _ *connbuffer.Conn) { c.idleSince = time.Now().Add(-2 * time.Hour) },
-		"a sweep":   func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.CloseStaleIdle(); p.mu.Lock() },
-		"a reclaim": func(p *Pool, _ *conn, _ *connbuffer.Conn) { p.mu.Unlock(); p.closeOldestIdle(); p.mu.Lock() },
+		"too old": func(_ *Pool, c *conn, _ *connbuffer.Conn) { c.idleSince = time.Now().Add(-2 * time.Hour) },
+		"stale closed": func(p *Pool, _ *conn, _ *connbuffer.Conn) {
+			p.mu.Unlock()
+			p.CloseStaleIdle()
+			p.mu.Lock()
+		},
+		"oldest closed": func(p *Pool, _ *conn, _ *connbuffer.Conn) {
+			p.mu.Unlock()
+			p.closeOldestIdle()
+			p.mu.Lock()
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -137,7 +148,7 @@
 			a.initContext()
 			c.next = a
 			event(p, c, serverConn)
-			if name == "noise" || name == "a late answer" {
+			if name == "noise" || name == "a late response" {
 				p.mu.Unlock()
 				nettest.Until(t, "the bytes have arrived", func() bool {
 					p.mu.Lock()
@@ -153,7 +164,7 @@
 				t.Errorf("the result is %s, the response %+v", dispatch.ResultNames[out.Result], out.Response)
 			}
 			want := "0"
-			if name == "nothing" || name == "a sweep" || name == "a reclaim" {
+			if name == "nothing" || name == "stale closed" || name == "oldest closed" {
 				want = "1"
 			}
 			if n := <-received; n != want || len(received) > 0 {
