--- a/internal/cluster/groupstate/machine_test.go
+++ b/internal/cluster/groupstate/machine_test.go
@@ -13,14 +13,14 @@
 var testSettings = ledger.Settings{MaxPeriods: 3, DedupPeriods: 1, MaxIDs: 100, MaxTenants: 10,
 	MaxMembers: 10}
 
-// testLog applies commands one after the other, each at the next index.
+// testLog applies commands to a machine, each at the next log index.
 type testLog struct {
 	tb      testing.TB
 	machine *Machine
 	index   uint64
 }
 
-func newLog(tb testing.TB) *testLog {
+func newTestLog(tb testing.TB) *testLog {
 	tb.Helper()
 	m, err := New(testSettings)
 	if err != nil {
@@ -31,19 +31,19 @@
 
 func (l *testLog) apply(b []byte) any { l.index++; return l.machine.Apply(l.index, b) }
 
-// acquire has a member become the owner, and returns its token.
+// acquire makes a member the owner and returns its token.
 func (l *testLog) acquire(member string) uint64 {
 	l.tb.Helper()
 	r := l.apply(EncodeLease(lease.Command{Op: lease.Acquire, Role: FleetRole, Member: member,
 		Expected: l.machine.leases.Get(FleetRole)})).(lease.Result)
 	if !r.Applied {
-		l.tb.Fatalf("%s did not become the owner: %+v", member, r)
+		l.tb.Fatalf("the acquisition by %s was rejected: %+v", member, r)
 	}
 	return r.Grant.Token
 }
 
-// status applies a command of a role and returns its status.
-func (l *testLog) status(b []byte) string { return l.apply(b).(Result).Status }
+// applyStatus applies a command of a role and returns its applyStatus.
+func (l *testLog) applyStatus(b []byte) string { return l.apply(b).(Result).Status }
 
 // addPeriod counts n answers of a tenant and closes the period.
 func (l *testLog) addPeriod(n int64) {
@@ -65,9 +65,10 @@
 	return v.(PendingExport)
 }
 
-// The same log gives the same state, through a snapshot anywhere on the way; and whatever comes in whatever
-// order, periods are done in their order, each under the grant that stood.
-func TestSameLogGivesTheSameState(t *testing.T) {
+// The same log gives the same state on a replica that is restored from snapshots at random positions of the
+// log. For random commands in random order, the last exported period never falls and only rises while a
+// member holds the lease.
+func TestSameLogGivesSameStateAcrossSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		uninterrupted, _ := New(testSettings)
 		restored, _ := New(testSettings)
@@ -87,11 +88,11 @@
 				data = EncodeLease(lease.Command{Op: lease.Op(rapid.IntRange(1, 3).Draw(t, "op")), Role: FleetRole,
 					Member: member, Expected: uninterrupted.leases.Get(FleetRole)})
 			case 3, 4:
-				data = (&ExportIntent{member, token, max(period, uninterrupted.nextDue())}).Encode()
+				data = (&ExportIntent{member, token, max(period, uninterrupted.nextDuePeriod())}).Encode()
 			case 5:
-				data = (&ExportDone{member, token, max(period, uninterrupted.lastSealed())}).Encode()
+				data = (&ExportDone{member, token, max(period, uninterrupted.lastFrozenPeriod())}).Encode()
 			case 6:
-				data = (&EndpointList{member, token, int64(period), []byte("{}")}).Encode()
+				data = (&PublishEndpointList{member, token, int64(period), []byte("{}")}).Encode()
 			case 7:
 				data = (&ledger.Correction{ID: string(rune('a' + period)), Period: period, Key: ledger.Key{Tenant: "t"},
 					Usage: ledger.Usage{Count: 1}}).Encode()
@@ -101,9 +102,9 @@
 			grant := uninterrupted.leases.Get(FleetRole)
 			uninterrupted.Apply(uint64(i+1), data)
 			restored.Apply(uint64(i+1), data)
-			if now := uninterrupted.state.Exported; now != exported {
+			if now := uninterrupted.state.LastExported; now != exported {
 				if now < exported || grant.Holder == "" {
-					t.Fatalf("period %d is done after %d, the grant was %+v", now, exported, grant)
+					t.Fatalf("last exported period went from %d to %d under the grant %+v", exported, now, grant)
 				}
 				exported = now
 			}
@@ -116,7 +117,7 @@
 			}
 		}
 		if !bytes.Equal(uninterrupted.Snapshot(), restored.Snapshot()) {
-			t.Fatal("the states differ")
+			t.Fatal("the state restored from snapshots differs")
 		}
 	})
 }
--- a/internal/cluster/groupstate/query.go
+++ b/internal/cluster/groupstate/query.go
@@ -8,7 +8,8 @@
 	"cresshub/internal/cluster/ledger"
 )
 
-// Values of Query.Kind, with the type of their answer. "" asks the ledger, by ledger.Query.
+// Values of Query.Kind, with the type of the result of Machine.Read. "" queries the ledger by the embedded
+// ledger.Query.
 const (
 	QueryGrant         = "grant"     // lease.Grant
 	QueryView          = "view"      // View
@@ -16,10 +17,11 @@
 	QueryEndpoints     = "list"      // EndpointView
 )
 
-// Query is what Machine.Read answers, as JSON. A ledger.Query in JSON is a Query too.
+// Query is the argument of Machine.Read, encoded as JSON. A ledger.Query encoded as JSON is a valid Query
+// too.
 type Query struct {
-	Kind  string `json:"ask,omitempty"`
-	After uint64 `json:"after,omitempty"` // QueryEndpoints: leave out the list unless it has changed after this
+	Kind         string `json:"ask,omitempty"`
+	ChangedAfter uint64 `json:"after,omitempty"` // QueryEndpoints: omit Raw unless ChangedVersion is above this
 	ledger.Query
 }
 
@@ -27,42 +29,42 @@
 func (q Query) Encode() []byte {
 	b, err := json.Marshal(q)
 	if err != nil {
-		panic(err) // numbers and strings alone: no input leads here
+		panic(err) // not reached: the query has only numbers and strings
 	}
 	return b
 }
 
-// View is what operators see of the state beside the ledger.
+// View is the state without the ledger, as operators see it.
 type View struct {
 	Grant              lease.Grant  `json:"grant"`
-	Exported           uint64       `json:"exported"` // the last period that the sink has acknowledged in full
-	Sending            uint64       `json:"sending"`  // the period of the open intent, 0 for none
+	LastExported       uint64       `json:"exported"` // the last period that the sink has acknowledged in full
+	IntentPeriod       uint64       `json:"sending"`  // the period of the open intent, 0 for none
 	IntentToken        uint64       `json:"intent_token"`
-	Final              uint64       `json:"final"`   // the newest period that may be exported
-	Open               uint64       `json:"open"`    // the open period of the ledger
-	Backlog            int          `json:"backlog"` // periods that may be exported and are not
+	FinalPeriod        uint64       `json:"final"`   // the newest period that may be exported
+	OpenPeriod         uint64       `json:"open"`    // the open period of the ledger
+	Backlog            int          `json:"backlog"` // periods that may be exported and have not been
 	PendingCorrections int          `json:"corrections_waiting"`
 	Endpoints          EndpointView `json:"list"`
 	Stats              Stats        `json:"figures"`
 }
 
-// EndpointView is the endpoint list as it was last published.
+// EndpointView is the endpoint list that was published last.
 type EndpointView struct {
-	Version uint64          `json:"version"`       // rises whenever the list is published or confirmed
-	Changed uint64          `json:"changed"`       // Version when the list itself was last published
-	Token   uint64          `json:"token"`         // of the owner that published it
-	Index   int64           `json:"index"`         // discovery's number of the list
-	Raw     json.RawMessage `json:"raw,omitempty"` // in discovery's format
+	Version        uint64          `json:"version"`       // log index of the last publication or confirmation
+	ChangedVersion uint64          `json:"changed"`       // log index of the last publication
+	Token          uint64          `json:"token"`         // of the owner that published it
+	DiscoveryIndex int64           `json:"index"`         // discovery's version number of the list
+	Raw            json.RawMessage `json:"raw,omitempty"` // in discovery's format
 }
 
-// PendingExport is what the owner has to export next.
+// PendingExport is the next export work of the owner.
 type PendingExport struct {
-	Grant       lease.Grant         `json:"grant"`
-	Due         uint64              `json:"due"`    // the next period that needs an intent, 0 for none
-	Period      uint64              `json:"period"` // of the open intent, 0 for none
-	IntentToken uint64              `json:"token"`  // of the open intent
-	Rows        []ledger.Row        `json:"rows"`   // of the open intent
-	Corrections []PendingCorrection `json:"fixes"`
+	Grant        lease.Grant         `json:"grant"`
+	DuePeriod    uint64              `json:"due"`    // the next period that needs an intent, 0 for none
+	IntentPeriod uint64              `json:"period"` // period of the open intent, 0 for none
+	IntentToken  uint64              `json:"token"`  // token under which the intent was proposed
+	Rows         []ledger.Row        `json:"rows"`   // frozen rows of the open intent
+	Corrections  []PendingCorrection `json:"fixes"`
 }
 
 // maxCorrectionsPerExport bounds the corrections in a PendingExport.
@@ -73,7 +75,7 @@
 func (m *Machine) Read(raw []byte) (any, error) {
 	var query Query
 	if err := json.Unmarshal(raw, &query); err != nil {
-		return nil, fmt.Errorf("a query that does not decode: %w", err)
+		return nil, fmt.Errorf("decoding query: %w", err)
 	}
 	switch query.Kind {
 	case "":
@@ -86,42 +88,42 @@
 		return m.pendingExport(), nil
 	case QueryEndpoints:
 		view := m.endpointView()
-		if view.Changed > query.After {
+		if view.ChangedVersion > query.ChangedAfter {
 			view.Raw = m.state.Endpoints.Raw
 		}
 		return view, nil
 	}
-	return nil, fmt.Errorf("%q is no question", query.Kind)
+	return nil, fmt.Errorf("unknown query kind %q", query.Kind)
 }
 
-// pendingExport returns what the owner has to do next. It aliases the state.
+// pendingExport returns the next export work of the owner. The result aliases the state.
 func (m *Machine) pendingExport() PendingExport {
-	corrections := m.state.Corrections[:min(len(m.state.Corrections), maxCorrectionsPerExport)]
+	corrections := m.state.PendingCorrections[:min(len(m.state.PendingCorrections), maxCorrectionsPerExport)]
 	next := PendingExport{Grant: m.grant(), Corrections: corrections}
-	if open := m.state.Open; open != nil {
-		next.Period, next.IntentToken, next.Rows = open.Period, open.Token, open.Rows
+	if open := m.state.OpenExport; open != nil {
+		next.IntentPeriod, next.IntentToken, next.Rows = open.Period, open.Token, open.Rows
 	} else {
-		next.Due = m.nextDue()
+		next.DuePeriod = m.nextDuePeriod()
 	}
 	return next
 }
 
-// View returns the state beside the ledger.
+// View returns the state without the ledger.
 func (m *Machine) View() View {
 	view := View{
 		Grant:              m.grant(),
-		Exported:           m.state.Exported,
-		Final:              m.Ledger.FinalPeriod(),
-		Open:               m.Ledger.OpenPeriod(),
-		PendingCorrections: len(m.state.Corrections),
+		LastExported:       m.state.LastExported,
+		FinalPeriod:        m.Ledger.FinalPeriod(),
+		OpenPeriod:         m.Ledger.OpenPeriod(),
+		PendingCorrections: len(m.state.PendingCorrections),
 		Endpoints:          m.endpointView(),
 		Stats:              m.state.Stats,
 	}
-	if open := m.state.Open; open != nil {
-		view.Sending, view.IntentToken = open.Period, open.Token
+	if open := m.state.OpenExport; open != nil {
+		view.IntentPeriod, view.IntentToken = open.Period, open.Token
 	}
-	if first := m.nextUnexported(); view.Final >= first {
-		view.Backlog = int(view.Final - first + 1)
+	if first := m.nextUnexportedPeriod(); view.FinalPeriod >= first {
+		view.Backlog = int(view.FinalPeriod - first + 1)
 	}
 	return view
 }
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -9,30 +9,33 @@
 	"pgregory.net/rapid"
 )
 
-// clusterModel plays members with clocks of their own rates; a log that takes commands late, twice or not at
-// all; replicas of it that lag; partitions; pauses of a member between its look at the lease and its side
-// effect; and a receiver with a fence. It moves in steps of modelStep, and draws from a seed alone.
+// clusterModel simulates members whose clocks run at different rates; a log that receives commands late,
+// twice or not at all; replicas that lag behind the log; partitions; pauses of a member between its check of
+// the lease and its side effect; and a receiver with a fence. Time advances in steps of modelStep. All
+// random choices derive from the scenario's seed.
 type clusterModel struct {
 	t                testingT
 	rng              *rand.Rand
-	now              time.Duration // true time
-	rates            []float64     // of the members' clocks
+	now              time.Duration // simulated true time
+	rates            []float64     // clock rate by member, 1 is exact
 	members          []*Candidate
-	pausedUntil      []time.Duration // a member does nothing until then
-	partitionedUntil []time.Duration // a member can't reach the log until then
+	pausedUntil      []time.Duration // by member: it does nothing until then
+	partitionedUntil []time.Duration // by member: it can't reach the log until then
 	table            *Table
-	index            uint64
-	log              []Grant         // the grant after each entry
+	logIndex         uint64
+	grantLog         []Grant         // current grant after each log entry
 	committedAt      []time.Duration // when that entry was committed
-	observedEntries  []int           // of the log, by member
+	observedCount    []int           // number of log entries observed, by member
 	replicationLag   []time.Duration // by member
 	inFlight         []proposalInFlight
 	results          []resultInFlight
-	effects          []effect
+	sideEffects      []sideEffect
 	fence            Fence
 	scenario         scenario
 
-	pauses, rejected, staleAdmitted, acquired int
+	// Counts of the run: pauses between an owner's check of the lease and its side effect; side effects that the
+	// fence rejected; side effects that it admitted with a token below the highest; Acquire commands applied.
+	pausedOwners, rejectedEffects, staleEffects, acquisitions int
 }
 
 // testingT is what testing.T and rapid.T have in common.
@@ -42,14 +45,14 @@
 	Fatalf(format string, args ...any)
 }
 
-// scenario is what a play depends on. Rates are chances of each message, or a second of each member.
+// scenario has the parameters of one run of the model.
 type scenario struct {
 	seed          uint64
 	members       int
-	lossRate      float64
-	duplicateRate float64
-	pauseRate     float64
-	partitionRate float64
+	lossRate      float64       // probability per message
+	duplicateRate float64       // probability per message
+	pauseRate     float64       // per second and member
+	partitionRate float64       // per second and member
 	maxDelay      time.Duration // of a message
 }
 
@@ -66,10 +69,10 @@
 }
 
 type proposalInFlight struct {
-	from     int
-	cmd      Command
-	at       time.Duration // when it reaches the log
-	answered bool          // its result comes back
+	from           int
+	cmd            Command
+	at             time.Duration // when it reaches the log
+	resultReturned bool          // its result is sent back to the member
 }
 
 type resultInFlight struct {
@@ -78,12 +81,12 @@
 	at     time.Duration // when it reaches the member
 }
 
-type effect struct {
+type sideEffect struct {
 	token uint64
 	at    time.Duration // when it reaches the receiver
 }
 
-// modelStep is the length of a step; maxOutage bounds pauses and partitions.
+// modelStep is the simulated time per step; maxOutage bounds the duration of pauses and partitions.
 const (
 	modelStep = 25 * time.Millisecond
 	maxOutage = 8 * time.Second
@@ -93,12 +96,12 @@
 	return time.Duration(float64(m.now) * m.rates[i])
 }
 
-// upTo draws a duration from 0 to d.
-func (m *clusterModel) upTo(d time.Duration) time.Duration {
+// randomUpTo draws a duration between 0 and d, both included.
+func (m *clusterModel) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Int64N(int64(d) + 1))
 }
 
-// happens draws whether something of that rate happens in this step.
+// happens draws whether an event with a rate per second occurs in this step.
 func (m *clusterModel) happens(ratePerSecond float64) bool {
 	return m.rng.Float64() < ratePerSecond*modelStep.Seconds()
 }
@@ -108,7 +111,7 @@
 	m := &clusterModel{t: t, table: NewTable(), rng: rand.New(rand.NewPCG(s.seed, 1)), scenario: s}
 	for i := range s.members {
 		rate := 1 - testSettings.Drift + 2*testSettings.Drift*m.rng.Float64()
-		if i < 2 { // the slowest possible clock beside the fastest
+		if i < 2 { // members 0 and 1 have the slowest and the fastest clock allowed
 			rate = 1 - testSettings.Drift + 2*testSettings.Drift*float64(i)
 		}
 		c, err := NewCandidate(testSettings, string(rune('a'+i)), "c")
@@ -118,27 +121,28 @@
 		c.Observe(0, Grant{})
 		m.rates = append(m.rates, rate)
 		m.members = append(m.members, c)
-		m.observedEntries = append(m.observedEntries, 0)
-		m.replicationLag = append(m.replicationLag, m.upTo(200*time.Millisecond))
+		m.observedCount = append(m.observedCount, 0)
+		m.replicationLag = append(m.replicationLag, m.randomUpTo(200*time.Millisecond))
 		m.pausedUntil = append(m.pausedUntil, 0)
 		m.partitionedUntil = append(m.partitionedUntil, 0)
 	}
 	return m
 }
 
-// stepMember plays one step of a member: a fault may begin, and it observes, proposes and acts.
+// stepMember simulates one step of a member: a fault may begin; then the member observes the log, proposes,
+// and sends a side effect if it owns the role.
 func (m *clusterModel) stepMember(i int) {
 	c := m.members[i]
 	if m.happens(m.scenario.pauseRate) {
 		if c.Owns(m.localClock(i)) {
-			m.pauses++
-			// It had looked at its lease and was about to act: the effect goes out when it wakes.
-			m.effects = append(m.effects, effect{c.Token(), m.now + m.upTo(maxOutage)})
+			m.pausedOwners++
+			// The pause falls between the check of the lease and the side effect, which is sent later.
+			m.sideEffects = append(m.sideEffects, sideEffect{c.Token(), m.now + m.randomUpTo(maxOutage)})
 		}
-		m.pausedUntil[i] = m.now + m.upTo(maxOutage)
+		m.pausedUntil[i] = m.now + m.randomUpTo(maxOutage)
 	}
 	if m.happens(m.scenario.partitionRate) {
-		m.partitionedUntil[i] = m.now + m.upTo(maxOutage)
+		m.partitionedUntil[i] = m.now + m.randomUpTo(maxOutage)
 	}
 	if m.now < m.pausedUntil[i] {
 		return
@@ -150,43 +154,44 @@
 		m.propose(i, cmd)
 	}
 	if c.Owns(m.localClock(i)) {
-		m.effects = append(m.effects, effect{c.Token(), m.now + m.upTo(m.scenario.maxDelay)})
+		m.sideEffects = append(m.sideEffects, sideEffect{c.Token(), m.now + m.randomUpTo(m.scenario.maxDelay)})
 		if m.rng.Float64() < 0.002 {
 			if cmd, ok := c.Resign(); ok {
-				at := m.now + m.upTo(m.scenario.maxDelay)
+				at := m.now + m.randomUpTo(m.scenario.maxDelay)
 				m.inFlight = append(m.inFlight, proposalInFlight{i, cmd, at, false})
 			}
 		}
 	}
 }
 
-// replicate has a member observe the entries of the log that have reached its replica.
+// replicate makes a member observe the log entries that have reached its replica.
 func (m *clusterModel) replicate(i int) {
-	for m.observedEntries[i] < len(m.log) &&
-		m.committedAt[m.observedEntries[i]]+m.replicationLag[i] <= m.now {
-		m.members[i].Observe(m.localClock(i), m.log[m.observedEntries[i]])
-		m.observedEntries[i]++
+	for m.observedCount[i] < len(m.grantLog) &&
+		m.committedAt[m.observedCount[i]]+m.replicationLag[i] <= m.now {
+		m.members[i].Observe(m.localClock(i), m.grantLog[m.observedCount[i]])
+		m.observedCount[i]++
 	}
 }
 
-// propose sends a member's command, which may be lost, sent twice, or be without a result.
+// propose sends a member's command, which may be lost or duplicated, or whose result may be lost.
 func (m *clusterModel) propose(i int, cmd Command) {
 	if m.now < m.partitionedUntil[i] || m.rng.Float64() < m.scenario.lossRate {
 		m.members[i].HandleNoResult()
 		return
 	}
-	p := proposalInFlight{i, cmd, m.now + m.upTo(m.scenario.maxDelay), m.rng.Float64() >= m.scenario.lossRate}
+	p := proposalInFlight{i, cmd, m.now + m.randomUpTo(m.scenario.maxDelay),
+		m.rng.Float64() >= m.scenario.lossRate}
 	m.inFlight = append(m.inFlight, p)
 	if m.rng.Float64() < m.scenario.duplicateRate {
-		p.at, p.answered = p.at+m.upTo(5*time.Second), false
+		p.at, p.resultReturned = p.at+m.randomUpTo(5*time.Second), false
 		m.inFlight = append(m.inFlight, p)
 	}
-	if !p.answered {
+	if !p.resultReturned {
 		m.members[i].HandleNoResult()
 	}
 }
 
-// deliver has the log, the members and the receiver take what reaches them by now.
+// deliver delivers the proposals, results and side effects that are due by now.
 func (m *clusterModel) deliver() {
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(p proposalInFlight) bool {
 		if p.at <= m.now {
@@ -195,49 +200,49 @@
 		return p.at <= m.now
 	})
 	m.results = slices.DeleteFunc(m.results, func(r resultInFlight) bool {
-		if r.at > m.now || m.now < m.pausedUntil[r.from] { // a paused member finds it when it wakes
+		if r.at > m.now || m.now < m.pausedUntil[r.from] { // delivered once the pause is over
 			return false
 		}
 		m.members[r.from].HandleResult(m.localClock(r.from), r.result)
 		return true
 	})
-	m.effects = slices.DeleteFunc(m.effects, func(e effect) bool {
+	m.sideEffects = slices.DeleteFunc(m.sideEffects, func(e sideEffect) bool {
 		if e.at <= m.now {
-			m.receive(e)
+			m.receiveSideEffect(e)
 		}
 		return e.at <= m.now
 	})
 }
 
-// commit has the log apply a command.
+// commit appends a command to the log and applies it.
 func (m *clusterModel) commit(p proposalInFlight) {
-	m.index += uint64(1 + m.rng.IntN(3))
+	m.logIndex += uint64(1 + m.rng.IntN(3))
 	before := m.table.Get("c")
-	r := m.table.Apply(m.index, p.cmd)
+	r := m.table.Apply(m.logIndex, p.cmd)
 	if r.Grant.Token < before.Token {
 		m.t.Fatalf("the token fell from %d to %d", before.Token, r.Grant.Token)
 	}
 	if r.Applied && p.cmd.Op == Acquire {
-		m.acquired++
+		m.acquisitions++
 	}
-	m.log, m.committedAt = append(m.log, r.Grant), append(m.committedAt, m.now)
-	if p.answered {
-		m.results = append(m.results, resultInFlight{p.from, r, m.now + m.upTo(m.scenario.maxDelay)})
+	m.grantLog, m.committedAt = append(m.grantLog, r.Grant), append(m.committedAt, m.now)
+	if p.resultReturned {
+		m.results = append(m.results, resultInFlight{p.from, r, m.now + m.randomUpTo(m.scenario.maxDelay)})
 	}
 }
 
-// receive has the receiver of side effects check a token.
-func (m *clusterModel) receive(e effect) {
-	highest := m.fence.Highest
+// receiveSideEffect checks the token of a side effect at the receiver and counts the outcome.
+func (m *clusterModel) receiveSideEffect(e sideEffect) {
+	highest := m.fence.HighestToken
 	if m.fence.Admit(e.token) != nil {
-		m.rejected++
+		m.rejectedEffects++
 	} else if e.token < highest {
-		m.staleAdmitted++
+		m.staleEffects++
 	}
 }
 
-// play runs the model for two minutes and fails the test once two members own the role.
-func (m *clusterModel) play() {
+// run runs the model for two simulated minutes and fails the test once two members own the role.
+func (m *clusterModel) run() {
 	m.t.Helper()
 	for m.now = 0; m.now < 2*time.Minute; m.now += modelStep {
 		m.deliver()
@@ -249,31 +254,31 @@
 			}
 		}
 		if owners > 1 {
-			m.t.Fatalf("%d members act at %v", owners, m.now)
+			m.t.Fatalf("%d members own the role at %v", owners, m.now)
 		}
 	}
 }
 
-// Over any order of grants, renewals, pauses, drifts, partitions, lost, late and repeated messages, two
-// members never act at once, tokens only rise, and the receiver admits nothing that a newer token has
-// overtaken.
+// Under any sequence of grants, renewals, pauses, clock drifts, partitions and lost, late or duplicated
+// messages, two members never own the role at the same time, tokens never fall, and the receiver admits no
+// side effect whose token is lower than one it has admitted before.
 func TestNeverTwoOwners(t *testing.T) {
 	pauses, rejected, stale, acquired := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, drawScenario(t))
-		m.play()
-		pauses, rejected, stale, acquired = pauses+m.pauses, rejected+m.rejected, stale+m.staleAdmitted,
-			acquired+m.acquired
+		m.run()
+		pauses, rejected, stale, acquired = pauses+m.pausedOwners, rejected+m.rejectedEffects, stale+m.staleEffects,
+			acquired+m.acquisitions
 	})
-	t.Logf("%d grants, %d owners paused about to act, %d side effects rejected by token, %d stale admitted",
+	t.Logf("%d acquisitions, %d owners paused before a side effect, %d side effects rejected, %d stale admitted",
 		acquired, pauses, rejected, stale)
 	if stale > 0 || pauses < 1000 || rejected == 0 || acquired < 500 {
-		t.Error("a stale owner's side effect was admitted, or too little happened to tell")
+		t.Error("a stale owner's side effect was admitted, or too few events occurred for a verdict")
 	}
 }
 
-// TestNeverTwoOwnersRegressions plays the scenarios with which TestNeverTwoOwners has found two owners in a
-// faulty version of this package.
+// TestNeverTwoOwnersRegressions runs the scenarios in which TestNeverTwoOwners found two owners in faulty
+// versions of this package.
 func TestNeverTwoOwnersRegressions(t *testing.T) {
 	for name, s := range map[string]scenario{
 		"takeover that does not wait for the drift of both clocks": {members: 4, lossRate: 0.125,
@@ -281,6 +286,6 @@
 		"lease counted from the result instead of the proposal": {members: 3, lossRate: 0.03125,
 			duplicateRate: 0.1, pauseRate: 0.4, partitionRate: 0.0625, maxDelay: time.Millisecond},
 	} {
-		t.Run(name, func(t *testing.T) { newModel(t, s).play() })
+		t.Run(name, func(t *testing.T) { newModel(t, s).run() })
 	}
 }
--- a/internal/cluster/leaseholder/helpers_test.go
+++ b/internal/cluster/leaseholder/helpers_test.go
@@ -15,13 +15,13 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// memoryStore is the replicated state in this process; members may be partitioned from it.
+// memoryStore is an in-memory substitute for the replicated state; members may be partitioned from it.
 type memoryStore struct {
 	mu          sync.Mutex
 	machine     *groupstate.Machine
 	index       uint64
 	partitioned map[string]bool
-	readers     map[string]bool // members whose commands get lost, so that they never own the lease
+	readOnly    map[string]bool // members whose commands are lost, so that they can't acquire the lease
 }
 
 func newMemoryStore(t *testing.T) *memoryStore {
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &memoryStore{machine: m, partitioned: map[string]bool{}, readers: map[string]bool{}}
+	return &memoryStore{machine: m, partitioned: map[string]bool{}, readOnly: map[string]bool{}}
 }
 
 func (s *memoryStore) apply(b []byte) json.RawMessage {
@@ -40,7 +40,7 @@
 	return s.applyLocked(b)
 }
 
-// applyCountingStale is apply, and returns by how much the count of stale commands rose with this one.
+// applyCountingStale applies a command and also returns by how much it raised the count of stale commands.
 func (s *memoryStore) applyCountingStale(b []byte) (raw json.RawMessage, counted int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	return raw
 }
 
-// addPeriod counts n answers of two tenants and closes the period.
+// addPeriod counts n answers for each of two tenants and closes the period.
 func (s *memoryStore) addPeriod(n int64) {
 	s.mu.Lock()
 	p := s.machine.Ledger.OpenPeriod()
@@ -75,7 +75,7 @@
 	return s.machine.View()
 }
 
-// setPartitioned cuts members off from the store, or connects them again.
+// setPartitioned partitions members from the store, or ends their partition.
 func (s *memoryStore) setPartitioned(on bool, members ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,11 +84,11 @@
 	}
 }
 
-// setReader has all commands of a member get lost, while it still reads the store.
-func (s *memoryStore) setReader(name string) {
+// setReadOnly makes all further commands of a member get lost, while its reads still succeed.
+func (s *memoryStore) setReadOnly(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readers[name] = true
+	s.readOnly[name] = true
 }
 
 // memberStore is the store as one member reaches it.
@@ -97,7 +97,7 @@
 	name string
 }
 
-var errUnreachable = errors.New("cut off")
+var errUnreachable = errors.New("partitioned from the store")
 
 func (s memberStore) unreachable() bool {
 	s.mu.Lock()
@@ -105,14 +105,14 @@
 	return s.partitioned[s.name]
 }
 
-func (s memberStore) onlyReads() bool {
+func (s memberStore) isReadOnly() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.readers[s.name]
+	return s.readOnly[s.name]
 }
 
 func (s memberStore) Propose(_ context.Context, b []byte) (json.RawMessage, error) {
-	if s.unreachable() || s.onlyReads() {
+	if s.unreachable() || s.isReadOnly() {
 		return nil, errUnreachable
 	}
 	return s.apply(b), nil
@@ -136,13 +136,13 @@
 	return v, err == nil
 }
 
-// fakeSource is a member's endpoint list; its watch on discovery is alive while it is asked.
+// fakeSource is an EndpointSource whose watch on discovery is alive whenever the list comes from discovery.
 type fakeSource struct {
-	mu    sync.Mutex
-	feed  Feed
-	index int64
-	raw   string   // the current list
-	taken []string // lists given to Replace
+	mu       sync.Mutex
+	feed     Feed
+	index    int64
+	raw      string   // the current list
+	replaced []string // lists given to Replace
 }
 
 func (s *fakeSource) Feed(f Feed) {
@@ -175,37 +175,39 @@
 func (s *fakeSource) Replace(raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.raw, s.taken = string(raw), append(s.taken, string(raw))
+	s.raw, s.replaced = string(raw), append(s.replaced, string(raw))
 	if err := json.Unmarshal(raw, &s.index); err != nil {
 		panic(err) // the lists of these tests are numbers
 	}
 }
-func (s *fakeSource) state() (feed Feed, taken []string) {
+
+func (s *fakeSource) state() (feed Feed, replaced []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.feed, s.taken
+	return s.feed, s.replaced
 }
 
-// patience bounds every wait of a test; no verdict depends on how much of it is used.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of a test; no test result depends on how much of it passes.
+const waitTimeout = 20 * time.Second
 
 var (
-	// shortLease is for tests that wait until a lease ends. It also ends where this process is stalled: a test
-	// that uses it accepts that a member loses the lease and acquires it again.
+	// shortLease is for tests that wait until a lease expires. It also expires if the test process is stalled: a
+	// test that uses it must accept that a member loses the lease and acquires it again.
 	shortLease = lease.Settings{TTL: 200 * time.Millisecond, Drift: 0.05, ElectionTimeout: 50 * time.Millisecond}
-	// steadyLease is for tests in which a member keeps the lease, also where this process is stalled for five
-	// seconds: what is left of it after a renewal that is due is more.
-	steadyLease = lease.Settings{TTL: 9 * time.Second, Drift: 0.05, ElectionTimeout: 50 * time.Millisecond}
+	// longLease is for tests in which a member must keep the lease even if the test process is stalled for five
+	// seconds: when a renewal becomes due, more than that remains of the lease.
+	longLease = lease.Settings{TTL: 9 * time.Second, Drift: 0.05, ElectionTimeout: 50 * time.Millisecond}
 )
 
-// startRunner runs a member: with an Exporter if sink is set, with an EndpointSync if list is.
+// startRunner starts a member's Runner, with an Exporter if sink is not empty and an EndpointSync if list is
+// not nil.
 func startRunner(t *testing.T, s *memoryStore, settings lease.Settings, name, sink string,
 	list *fakeSource) *Runner {
 	t.Helper()
 	opts := Options{Name: name, Lease: settings, Store: memberStore{s, name},
 		Log: slog.New(slog.DiscardHandler)}
 	if sink != "" {
-		opts.Export = &Exporter{Sink: sink, CallTimeout: patience, BatchSize: 1}
+		opts.Export = &Exporter{SinkAddress: sink, CallTimeout: waitTimeout, BatchSize: 1}
 	}
 	if list != nil {
 		opts.Endpoints = &EndpointSync{Source: list, MaxAge: 400 * time.Millisecond, Jitter: 50 * time.Millisecond,
@@ -224,7 +226,7 @@
 func eventually(t *testing.T, what string, check func() error) {
 	t.Helper()
 	var err error
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for ; time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if err = check(); err == nil {
 			return
@@ -233,28 +235,28 @@
 	t.Fatalf("%s: %v", what, err)
 }
 
-// awaitLease waits until a member owns the lease, and returns it as it was then.
+// awaitLease waits until a member holds the lease, and returns that lease.
 func awaitLease(t *testing.T, r *Runner) (owned ownedLease) {
 	t.Helper()
-	eventually(t, r.opts.Name+" owns", func() error {
+	eventually(t, r.opts.Name+" acquires the lease", func() error {
 		var owns bool
 		if owned, owns = r.activeLease(); !owns {
-			return errors.New("it does not own the lease")
+			return errors.New("it does not hold the lease")
 		}
 		return nil
 	})
 	return owned
 }
 
-// exportSetup is a lease holder "a" that exports a store's ledger to a sink.
+// exportSetup is a lease holder named "a" that exports a store's ledger to a sink.
 type exportSetup struct {
 	sink   *proxystandin.Sink
 	store  *memoryStore
 	holder *Runner
-	lease  ownedLease // the first of the holder
+	lease  ownedLease // the holder's first lease
 }
 
-func startExport(t *testing.T, settings lease.Settings) exportSetup {
+func startExportingHolder(t *testing.T, settings lease.Settings) exportSetup {
 	t.Helper()
 	sink, err := proxystandin.StartSink("127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -45,23 +45,23 @@
 		holder = "(nobody)"
 	}
 	if p.Owns {
-		owned = fmt.Sprintf("%d ms", p.OwnedFor)
-		left = fmt.Sprintf("%d ms", p.LeaseRemaining)
+		owned = fmt.Sprintf("%d ms", p.OwnedForMS)
+		left = fmt.Sprintf("%d ms", p.LeaseRemainingMS)
 	}
 	w.println("OWNER\tTOKEN\tHERE\tOWNED FOR\tLEASE LEFT")
 	w.printf("%s\t%d\t%v\t%s\t%s\n", holder, p.Token, p.Owns, owned, left)
 	w.println("\nROLE\tLAST RUN HERE\tWAITING\tPROBLEM")
 	for _, s := range p.Roles {
 		last := "never"
-		if s.LastRun >= 0 {
-			last = (time.Duration(s.LastRun) * time.Millisecond).String() + " ago"
+		if s.SinceLastRunMS >= 0 {
+			last = (time.Duration(s.SinceLastRunMS) * time.Millisecond).String() + " ago"
 		}
 		w.printf("%s\t%s\t%d\t%s\n", s.Role, last, s.Backlog, s.Problem)
 	}
 	if v := p.Store; v != nil {
 		w.println("\nEXPORTED\tSENDING\tMAY BE SENT\tOPEN\tCORRECTIONS\tLIST\tSTALE ENTRIES")
-		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.Exported, v.Sending, v.Final, v.Open, v.PendingCorrections,
-			v.Endpoints.Version, v.Stats.Stale)
+		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.LastExported, v.IntentPeriod, v.FinalPeriod, v.OpenPeriod,
+			v.PendingCorrections, v.Endpoints.Version, v.Stats.Stale)
 	}
 	if l := p.Endpoints; l != nil {
 		from := "discovery"
@@ -72,8 +72,8 @@
 	}
 	f := &p.Stats
 	w.println("\nLEASES HERE\tLOST\tGIVEN BACK\tCALLS\tREFUSED\tFAILED\tENTRIES\tREPEATED\tRESUMED")
-	w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", f.Grants, f.Losses, f.Resigned, f.Calls, f.Rejected,
-		f.Failed, f.Entries, f.Duplicates, f.Resumed)
+	w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", f.Grants, f.Losses, f.Resigned, f.Calls, f.RejectedCalls,
+		f.FailedCalls, f.Entries, f.Duplicates, f.Resumed)
 	if err := w.flush(); err != nil {
 		return err
 	}
--- a/internal/proxy/discovery/watch.go
+++ b/internal/proxy/discovery/watch.go
@@ -166,6 +166,6 @@
 	}
 	c.sink.UpdateList(full, list)
 	c.onListApplied()
-	c.stats.ListsRead.Add()
+	c.stats.ListsRead.Inc()
 	return err
 }
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -73,7 +73,7 @@
 		}
 		p.Release(&out)
 	}
-	if n := p.stats.Opened.Load(); n != 1 || p.stats.Reused.Load() != 1 {
+	if n := p.stats.OpenedServerConns.Load(); n != 1 || p.stats.ReusedServerConns.Load() != 1 {
 		t.Errorf("two attempts opened %d connections", n)
 	}
 }
@@ -95,7 +95,7 @@
 				t.Errorf("extra bytes %q: %s", extra, dispatch.ResultNames[out.Result])
 			}
 		}
-		if n := p.stats.Opened.Load(); n != 2 {
+		if n := p.stats.OpenedServerConns.Load(); n != 2 {
 			t.Errorf("extra bytes %q: two attempts opened %d connections", extra, n)
 		}
 	}
--- a/internal/proxy/upstream/stalls_test.go
+++ b/internal/proxy/upstream/stalls_test.go
@@ -26,7 +26,7 @@
 		go p.clock.Run(done)
 		want := dispatch.TimedOut
 		if stalled {
-			p.clock.Inject(time.Now().Add(time.Hour), time.Hour) // every wait counts as stalled
+			p.clock.InjectStall(time.Now().Add(time.Hour), time.Hour) // every wait counts as stalled
 			want = dispatch.Cancelled
 		}
 		_, ended := startAttempt(p, time.Now().Add(200*time.Millisecond))
@@ -52,7 +52,7 @@
 	})
 	p := newPool(&fakeDirectory{address: address}, time.Hour)
 	p.clock = stallclock.New(nil)
-	p.clock.Inject(time.Now().Add(time.Hour), time.Hour)
+	p.clock.InjectStall(time.Now().Add(time.Hour), time.Hour)
 	limits := *p.limits.Load()
 	limits.ProbeTimeout = time.Millisecond // less than the server needs to respond
 	p.SetLimits(limits)
--- a/internal/router/agent/process.go
+++ b/internal/router/agent/process.go
@@ -61,7 +61,7 @@
 // only time in which this process runs, and does not end within a short time after a stall, in which the
 // process reads what has arrived meanwhile.
 func (p *process) remaining(from, timeout time.Duration) time.Duration {
-	return p.clock.Left(p.started.Add(from), timeout)
+	return p.clock.Remaining(p.started.Add(from), timeout)
 }
 
 // now returns the time on the monotonic clock since the process started.
