--- a/internal/proxy/ingress/serve.go
+++ b/internal/proxy/ingress/serve.go
@@ -32,7 +32,7 @@
 			reserved, err = s.bufferBody(c, message, body)
 		}
 	}
-	arrived := time.Now() // X-Timeout counts from a request's last byte; for an upload see attemptUpload.Sent
+	arrived := time.Now() // X-Timeout counts from a request's last byte; for an upload see MarkSent
 	defer s.Bodies.Release(reserved)
 	if !s.takeOwnership(c) {
 		return false
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -75,7 +75,8 @@
 	return u.server.Decider.BodySent(u.call, u.attempt, time.Now().Add(u.timeout))
 }
 
-// endInProgress stops counting the request as in progress, and keeps a later Sent from starting the count.
+// endInProgress stops counting the request as in progress, and keeps a later MarkSent from starting the
+// count.
 func (u *upload) endInProgress() {
 	if u.inProgress.Swap(inProgressEnded) == inProgressCounted {
 		u.server.Stats.InProgress.Add(-1)
