--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -19,7 +19,7 @@
 	socketPath        string                // of the Unix socket; "" without handover
 	predecessor       *handover.Predecessor // nil where no process served the address
 	predecessorExited chan struct{}         // closed once there is no predecessor, or none any more
-	offer             atomic.Pointer[handover.Offer]
+	offer             atomic.Pointer[handover.SuccessorListener]
 	serving           atomic.Bool // this process accepts clients
 	successorServing  atomic.Bool // a successor accepts them too
 
@@ -43,7 +43,7 @@
 	if dir != "" {
 		control = handover.ReusePort
 		var err error
-		state.predecessor, err = handover.Join(handover.Path(dir, p.startConfig.Listen.Address),
+		state.predecessor, err = handover.Join(handover.SocketPath(dir, p.startConfig.Listen.Address),
 			p.startConfig.Handover.JoinTimeout)
 		if err != nil {
 			p.log.Warn("handover: failed, listening beside the old process", logging.Err, err)
@@ -53,7 +53,7 @@
 		p.log.Info("handover: taking over from an old process",
 			"listen", state.predecessor.Listener.Addr().String())
 		p.listener = state.predecessor.Listener
-		state.socketPath = handover.Path(dir, p.Address())
+		state.socketPath = handover.SocketPath(dir, p.Address())
 		p.applyLimits()
 		return nil
 	}
@@ -64,7 +64,8 @@
 		return fmt.Errorf("listen.address: %w", err)
 	}
 	if dir != "" {
-		state.socketPath = handover.Path(dir, p.Address()) // with the port that the system has chosen for port 0
+		// With the port that the system has chosen for port 0.
+		state.socketPath = handover.SocketPath(dir, p.Address())
 	}
 	return nil
 }
@@ -151,7 +152,9 @@
 }
 
 // listReceived reports whether discovery has sent a list since the start.
-func (p *Proxy) listReceived() bool { return p.stats.ListsRead.Load() > 0 && p.discovery.Listed() > 0 }
+func (p *Proxy) listReceived() bool {
+	return p.stats.ListsRead.Load() > 0 && p.discovery.NumListed() > 0
+}
 
 // waitForPredecessorExit takes over the predecessor's half of the limits once it has exited.
 func (p *Proxy) waitForPredecessorExit() {
@@ -167,22 +170,22 @@
 // SuccessorJoined returns the listening socket and the list of servers for a process that takes over.
 // While this process's own predecessor still runs a successor has to wait, since the limits are for two
 // processes at a time. It waits for less than handover.wait, after which it would give up.
-func (p *Proxy) SuccessorJoined() (handover.Terms, syscall.Conn, error) {
+func (p *Proxy) SuccessorJoined() (handover.State, syscall.Conn, error) {
 	select {
 	case <-p.handover.predecessorExited:
 	case <-time.After(p.startConfig.Handover.JoinTimeout / 4 * 3):
 	}
 	socket, ok := p.listener.(syscall.Conn)
 	if !ok {
-		return handover.Terms{}, nil, errors.New("the listener has no socket")
+		return handover.State{}, nil, errors.New("the listener has no socket")
 	}
 	known, err := p.discovery.Export()
 	if err != nil {
-		return handover.Terms{}, nil, err
+		return handover.State{}, nil, err
 	}
 	p.log.Info("handover: new process takes over")
 	p.countSuccessors(+1)
-	return handover.Terms{Known: known, Discovery: p.discovery.Origin()}, socket, nil
+	return handover.State{ServerList: known, DiscoveryAddress: p.discovery.Origin()}, socket, nil
 }
 
 // SuccessorReady records that a successor accepts clients, so that a shutdown doesn't accept any more.
--- a/internal/proxy/ingress/attempts.go
+++ b/internal/proxy/ingress/attempts.go
@@ -117,7 +117,7 @@
 	var attempts []*attempt
 	defer func() {
 		for _, a := range attempts {
-			a.Drop()
+			a.CancelIfPending()
 		}
 	}()
 	for {
@@ -137,7 +137,7 @@
 func (s *Server) startAttempt(call *dispatch.Call, step dispatch.Step, id string, message *http1.Request,
 	u *upload) *attempt {
 	a := &attempt{Attempt: upstream.Attempt{Server: step.Server, Request: message, StartBy: step.StartBy,
-		GiveUpAt: step.Deadline}}
+		Deadline: step.Deadline}}
 	if u != nil {
 		a.Upload = attemptUpload{u, step.Attempt}
 	}
@@ -145,7 +145,7 @@
 	a.Done = func(outcome upstream.Outcome) {
 		a.outcome = outcome
 		s.releaseID(id)
-		if !s.Decider.Report(call, number, outcome.Verdict(), outcome.Load) {
+		if !s.Decider.Report(call, number, outcome.ReportedResult(), outcome.Load) {
 			s.Pool.Release(&outcome)
 		}
 	}
--- a/internal/proxy/ingress/rig_test.go
+++ b/internal/proxy/ingress/rig_test.go
@@ -86,8 +86,8 @@
 	budget, bodies, counters := descriptors.NewBudget(200, 0.6, 0.9), bodybudget.NewBudget(1<<20), stats.New(
 		[]string{"lookup", "assign"})
 	timeout := nettest.Patience
-	limits := upstream.Limits{Dial: timeout, MaxIdle: timeout, Probe: timeout, BufferTime: time.Second,
-		Stall: timeout}
+	limits := upstream.Limits{DialTimeout: timeout, MaxIdle: timeout, ProbeTimeout: timeout,
+		BufferTime: time.Second, StallTimeout: timeout}
 	clock, done := stallclock.New(nil), make(chan struct{})
 	go clock.Run(done)
 	tb.Cleanup(func() { close(done) })
--- a/internal/proxy/ingress/upload.go
+++ b/internal/proxy/ingress/upload.go
@@ -63,9 +63,9 @@
 	return n, err
 }
 
-// Sent reports that the last byte was written to the server. The request's X-Timeout counts from now, and it
-// is in progress. Sent returns the time until which the attempt waits for the response.
-func (u attemptUpload) Sent() time.Time {
+// MarkSent reports that the last byte was written to the server. The request's X-Timeout counts from now, and
+// it is in progress. MarkSent returns the time until which the attempt waits for the response.
+func (u attemptUpload) MarkSent() time.Time {
 	if u.server.onBodySent != nil {
 		u.server.onBodySent()
 	}
@@ -75,7 +75,8 @@
 	return u.server.Decider.BodySent(u.call, u.attempt, time.Now().Add(u.timeout))
 }
 
-// endInProgress stops counting the request as in progress, and keeps a later Sent from starting the count.
+// endInProgress stops counting the request as in progress, and keeps a later MarkSent from starting the
+// count.
 func (u *upload) endInProgress() {
 	if u.inProgress.Swap(inProgressEnded) == inProgressCounted {
 		u.server.Stats.InProgress.Add(-1)
