--- a/internal/segmentlog/compact.go
+++ b/internal/segmentlog/compact.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Compact begins a new segment with a snapshot, records that stand for all so far, and removes the old one.
-// After an error, which is ErrClosed or a *WriteError, the log is as before.
+// Compact begins a new segment with a snapshot, whose records replace all records so far, and removes the old
+// segment. After an error, which is ErrClosed or a *WriteError, the log is as before.
 func (l *Log) Compact(snapshot [][]byte) error {
 	if l.closed {
 		return ErrClosed
@@ -19,13 +19,13 @@
 	if err := l.startSegment(snapshot); err != nil {
 		return err
 	}
-	_ = old.Close() // all of it was synced
+	_ = old.Close() // its content was synced
 	l.removeLeftovers()
 	return nil
 }
 
-// startSegment writes the next segment under a temporary name, and takes it into use once file and name are
-// durable.
+// startSegment writes the next segment under a temporary name, renames it, and switches the log to it once
+// both its content and its name are durable.
 func (l *Log) startSegment(snapshot [][]byte) error {
 	number := l.segment + 1
 	name := l.path(segmentName(number))
@@ -65,19 +65,19 @@
 	return file, nil
 }
 
-// removeTemporary removes the file that was to become a segment. If that fails the next Open removes it.
+// removeTemporary removes the temporary file of a segment. If that fails, the next Open removes it.
 func (l *Log) removeTemporary(segmentPath string) { _ = l.fsys.Remove(segmentPath + temporarySuffix) }
 
-// abandon gives up a new segment whose name may or may not be durable.
+// abandon discards a new segment whose name may or may not be durable, because the directory sync failed.
 func (l *Log) abandon(name string, file File, cause error) error {
 	_ = file.Close() // its content doesn't count
 	l.abandoned = name
-	_ = l.removeAbandoned() // else before the next write
-	return &WriteError{l.dir, "sync the folder", cause}
+	_ = l.removeAbandoned() // if this fails, it is retried before the next write
+	return &WriteError{l.dir, "sync the directory", cause}
 }
 
-// removeAbandoned removes a segment that was given up. That has to be durable before the old segment takes
-// another record, because Open would prefer the new one.
+// removeAbandoned removes the segment that abandon discarded. The removal has to be durable before another
+// record is appended to the old segment, because Open would prefer the new segment and lose that record.
 func (l *Log) removeAbandoned() error {
 	if l.abandoned == "" {
 		return nil
@@ -86,14 +86,13 @@
 		return &WriteError{l.abandoned, "remove", err}
 	}
 	if err := l.fsys.SyncDir(l.dir); err != nil {
-		return &WriteError{l.dir, "sync the folder", err}
+		return &WriteError{l.dir, "sync the directory", err}
 	}
 	l.abandoned = ""
 	return nil
 }
 
-// removeLeftovers removes older segments and unfinished ones. Those that remain do no harm, and the next Open
-// removes them.
+// removeLeftovers removes older segments and temporary files. Open ignores any that remain, and removes them.
 func (l *Log) removeLeftovers() {
 	names, err := l.fsys.List(l.dir)
 	if err != nil {
--- a/internal/segmentlog/corruption_test.go
+++ b/internal/segmentlog/corruption_test.go
@@ -18,8 +18,8 @@
 // firstSegment is the file name of a log's first segment.
 const firstSegment = "0000000000000001.segment"
 
-// The sizes of the format in bytes. They stand here, too, so that the tests depend on the format on the disk
-// and not on the package's constants.
+// The sizes of the format in bytes. The tests define them again so that they check the format on disk and
+// don't follow a change of the package's constants.
 const (
 	segmentHeaderSize = 8 + 4 + 8 + 4 // newer formats must keep it
 	lengthSize        = 4
@@ -29,25 +29,25 @@
 	sectorSize        = 512
 )
 
-// writeLog returns a folder of the machine's file system with a log of three frames after the snapshot, and
-// the segment's path.
-func writeLog(c *qt.C) (folder, file string) {
+// writeLog writes a log of three frames after the snapshot to the operating system's file system, and returns
+// its directory and the path of its segment.
+func writeLog(c *qt.C) (logDir, file string) {
 	c.Helper()
-	folder = c.TempDir()
-	log, _, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
+	logDir = c.TempDir()
+	log, _, err := segmentlog.Open(segmentlog.OSFS{}, logDir, segmentlog.Options{})
 	c.Assert(err, qt.IsNil)
 	for _, value := range []string{"one", "two", "three"} {
 		c.Assert(log.Append([]byte(value)), qt.IsNil)
 	}
 	c.Assert(log.Close(), qt.IsNil)
-	return folder, filepath.Join(folder, firstSegment)
+	return logDir, filepath.Join(logDir, firstSegment)
 }
 
-// TestEachFlippedByteIsDetected flips each byte, with the marker after the last frame and without, as a crash
-// may lose it. Only corruption of the marker itself does no harm.
+// TestEachFlippedByteIsDetected flips a bit of each byte, with and without the marker after the last frame,
+// which a crash may lose. All corruption is detected except that of the marker, which loses no record.
 func TestEachFlippedByteIsDetected(t *testing.T) {
 	c := qt.New(t)
-	folder, file := writeLog(c)
+	logDir, file := writeLog(c)
 	complete, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
 	frames := len(complete) - markerSize
@@ -56,9 +56,9 @@
 			bad := append([]byte(nil), good...)
 			bad[offset] ^= 0x40
 			c.Assert(os.WriteFile(file, bad, 0o600), qt.IsNil)
-			reports, err := segmentlog.Inspect(segmentlog.OSFS{}, folder)
+			reports, err := segmentlog.Inspect(segmentlog.OSFS{}, logDir)
 			c.Assert(err, qt.IsNil)
-			_, records, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
+			_, records, err := segmentlog.Open(segmentlog.OSFS{}, logDir, segmentlog.Options{})
 			if offset >= frames {
 				c.Assert(err, qt.IsNil)
 				c.Assert(records, qt.HasLen, 3)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestCorruptionBeforeAPartialMarkerIsDetected flips each byte of the last frame, after which the marker was
-// written in part.
+// TestCorruptionBeforeAPartialMarkerIsDetected flips a bit of each byte of the last frame after its length
+// field. Half of the frame's marker follows it.
 func TestCorruptionBeforeAPartialMarkerIsDetected(t *testing.T) {
 	c := qt.New(t)
 	_, file := writeLog(c)
@@ -81,7 +81,7 @@
 	c.Assert(err, qt.IsNil)
 	frames := len(complete) - markerSize
 	last := frames - frameHeaderSize - recordHeaderSize - len("three")
-	for offset := last + lengthSize; offset < frames; offset++ { // with a bad length the end isn't known
+	for offset := last + lengthSize; offset < frames; offset++ { // a corrupt length hides where the frame ends
 		bad := append([]byte(nil), complete[:frames+markerSize/2]...)
 		bad[offset] ^= 1
 		_, _, err = openContent(c, bad)
@@ -92,12 +92,12 @@
 
 func TestTruncatedLastFrameIsTorn(t *testing.T) {
 	c := qt.New(t)
-	folder, file := writeLog(c)
+	logDir, file := writeLog(c)
 	good, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
 	for cut := 1; cut < markerSize+frameHeaderSize+recordHeaderSize+len("three"); cut++ {
 		c.Assert(os.WriteFile(file, good[:len(good)-cut], 0o600), qt.IsNil)
-		log, records, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
+		log, records, err := segmentlog.Open(segmentlog.OSFS{}, logDir, segmentlog.Options{})
 		c.Assert(err, qt.IsNil)
 		if cut <= markerSize {
 			c.Assert(records, qt.HasLen, 3)
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestTornWritesAreDistinguishedFromCorruption writes a frame of some sectors over the marker after the one
-// before, at each offset in a sector, and leaves each choice of its sectors as they were. None of these is
-// corruption, and each flip of a byte in the complete frame is.
+// TestTornWritesAreDistinguishedFromCorruption writes a frame that spans several sectors over the marker of
+// the previous frame, at each offset in a sector, and reverts each subset of its sectors to their old
+// content. All of these are torn writes; a flipped bit in the complete frame is corruption.
 func TestTornWritesAreDistinguishedFromCorruption(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewSource(1))
@@ -144,19 +144,19 @@
 			}
 			c.Assert(hasSecondRecord(c, torn), qt.Equals, lost == 0, qt.Commentf("shift %d, lost %b", shift, lost))
 		}
-		rotten := append([]byte(nil), after...)
-		rotten[len(before)-markerSize+random.Intn(len(after)-len(before)+markerSize)] ^= 1 << random.Intn(8)
-		_, _, err = openContent(c, rotten)
+		corrupt := append([]byte(nil), after...)
+		corrupt[len(before)-markerSize+random.Intn(len(after)-len(before)+markerSize)] ^= 1 << random.Intn(8)
+		_, _, err = openContent(c, corrupt)
 		var corruption *segmentlog.CorruptionError
 		c.Assert(errors.As(err, &corruption), qt.IsTrue, qt.Commentf("shift %d: %v", shift, err))
 	}
 }
 
 // TestWriteTornInsideASectorIsTorn keeps only the first or only the last bytes of a frame, with the marker
-// that was there before, or zeros, in place of the others.
+// that was there before, or zeros, in place of the other bytes.
 func TestWriteTornInsideASectorIsTorn(t *testing.T) {
 	c := qt.New(t)
-	folder, file := writeLog(c)
+	logDir, file := writeLog(c)
 	complete, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
 	complete = complete[:len(complete)-markerSize]
@@ -170,7 +170,7 @@
 			last := slices.Concat(complete[:start], before[:len(before)-kept], complete[len(complete)-kept:])
 			for _, torn := range [][]byte{first, last} {
 				c.Assert(os.WriteFile(file, torn, 0o600), qt.IsNil)
-				_, records, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
+				_, records, err := segmentlog.Open(segmentlog.OSFS{}, logDir, segmentlog.Options{})
 				c.Assert(err, qt.IsNil, qt.Commentf("%d bytes kept", kept))
 				c.Assert(records, qt.HasLen, 2)
 			}
@@ -192,7 +192,7 @@
 	return data[len(data)-markerSize:]
 }
 
-// loseSector sets a sector back to what it was before, with zeros after the end of that.
+// loseSector reverts a sector to its content in before, with zeros beyond the end of before.
 func loseSector(data, before []byte, start int) {
 	for i := start; i < min(start+sectorSize, len(data)); i++ {
 		data[i] = 0
@@ -221,8 +221,9 @@
 	return len(records) == 2
 }
 
-// TestLostSectorBeforeAMarkerIsCorruption: zeros in a frame that is known to be synced are
-// corruption.
+// TestLostSectorBeforeAMarkerIsCorruption fills a sector of a frame with zeros. With a marker after it the
+// frame is known to be synced, and the zeros are corruption; without the marker they are taken for a torn
+// write.
 func TestLostSectorBeforeAMarkerIsCorruption(t *testing.T) {
 	c := qt.New(t)
 	fs := faultfs.New()
@@ -235,7 +236,7 @@
 	_, _, err = openContent(c, data)
 	var corruption *segmentlog.CorruptionError
 	c.Assert(errors.As(err, &corruption), qt.IsTrue, qt.Commentf("%v", err))
-	_, records, err := openContent(c, data[:len(data)-markerSize]) // this isn't distinguished
+	_, records, err := openContent(c, data[:len(data)-markerSize]) // taken for a torn write
 	c.Assert(err, qt.IsNil)
 	c.Assert(records, qt.HasLen, 0)
 }
--- a/internal/segmentlog/faultfs/faultfs.go
+++ b/internal/segmentlog/faultfs/faultfs.go
@@ -1,6 +1,6 @@
-// Package faultfs is a segmentlog.FS in memory for tests: it numbers every operation that changes something,
-// injects a fault at the one that a test names, and loses what was not synced in a power loss. A test that
-// runs once with a fault at each number goes through all states that a crash can leave.
+// Package faultfs is an in-memory segmentlog.FS for tests. It numbers every operation that changes something,
+// injects a fault at the number that a test sets, and simulates a power loss that loses writes that were not
+// synced. A test that runs once with a fault at each number covers all states that a crash can leave.
 //
 // A FS is not safe for concurrent use.
 package faultfs
@@ -23,54 +23,55 @@
 	ErrCrashed = errors.New("faultfs: the machine is down; call Restart")
 	// ErrNoSpace is returned by a write beyond the capacity.
 	ErrNoSpace = errors.New("faultfs: no space left; raise the capacity")
-	// ErrInjected is returned by the operation that fails by FailIO.
-	ErrInjected = errors.New("faultfs: input or output error; it was asked for")
+	// ErrInjected is returned by the operation at which FailIO is injected.
+	ErrInjected = errors.New("faultfs: injected I/O error; FaultAt requested it")
 )
 
-// Fault is what happens at a numbered operation.
+// Fault is a fault that FaultAt injects at a numbered operation.
 type Fault int
 
 // The faults.
 const (
-	// NoFault lets the operation pass.
+	// NoFault lets the operation succeed.
 	NoFault Fault = iota
-	// CrashBefore stops the machine before the operation did anything.
+	// CrashBefore stops the machine before the operation takes effect.
 	CrashBefore
-	// CrashAfter stops the machine when the operation is done, before it returns.
+	// CrashAfter stops the machine after the operation has taken effect, before it returns.
 	CrashAfter
-	// FailIO makes the operation return ErrInjected; of a write, half is done.
+	// FailIO makes the operation return ErrInjected. A write writes half of its data, any other operation has
+	// no effect.
 	FailIO
 )
 
-// Loss is what a power loss does to writes that were not synced.
+// Loss selects which unsynced writes and name changes a restart loses.
 type Loss int
 
 // The losses.
 const (
 	// KeepAll keeps every write, as when only the process ends.
 	KeepAll Loss = iota
-	// LoseAll loses every write and change of a name since the last sync.
+	// LoseAll loses every write and name change since the last sync.
 	LoseAll
-	// LoseSome keeps or loses each sector of a write by a draw, and loses the changes of names after one that is
-	// drawn.
+	// LoseSome keeps or loses each sector of a write at random, keeps a random number of the first name changes
+	// and loses all later ones.
 	LoseSome
 )
 
 // sectorSize is the unit that a torn write keeps or loses, in bytes.
 const sectorSize = 512
 
-// FS is the file system. Its machine runs or is down; New returns one that runs.
+// FS is the file system of a simulated machine, which is up until a fault or Crash stops it.
 type FS struct {
 	// current and durable are the files by name, as they are and as they would be after a power loss.
 	current, durable map[string]*inode
-	// pending are the changes of names since their folder was synced, in order.
+	// pending are the name changes since their directory was synced, in order.
 	pending []nameChange
 
 	// Operations is the number of operations that changed something.
 	Operations int
-	// Syncs is the number of Sync and SyncDir among them.
+	// Syncs is the number of completed calls of Sync and SyncDir among them.
 	Syncs int
-	// Capacity bounds the bytes of all files if it is not 0.
+	// Capacity limits the total size of all files in bytes; 0 means no limit.
 	Capacity int64
 
 	// fault is injected at the operation whose number is faultAt.
@@ -78,7 +79,7 @@
 	fault   Fault
 	// down is whether the machine has crashed and was not restarted.
 	down bool
-	// generation rises with each restart, which closes all open files.
+	// generation is incremented by each Restart and Wipe, which invalidate all open files.
 	generation int
 }
 
@@ -104,8 +105,8 @@
 // Crash stops the machine now.
 func (f *FS) Crash() { f.down = true }
 
-// Restart brings the machine back with what the loss leaves. Files that were open are closed. The draws of
-// LoseSome come from random, which may be nil for the other losses.
+// Restart starts the machine again with the writes and names that the loss keeps. Open files become invalid.
+// LoseSome draws from random, which may be nil for the other losses.
 func (f *FS) Restart(loss Loss, random *rand.Rand) {
 	if loss != KeepAll {
 		f.loseNames(loss, random)
@@ -118,7 +119,7 @@
 	f.generation++
 }
 
-// Corrupt flips a bit of the byte at an offset of a file, on the medium, too.
+// Corrupt flips a bit of the byte at an offset of a file, also in its durable content.
 func (f *FS) Corrupt(name string, offset int) error {
 	file := f.current[name]
 	if file == nil {
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// Wipe removes all files, as a new disk in the machine does.
+// Wipe removes all files, as if the disk had been replaced.
 func (f *FS) Wipe() {
 	f.current, f.durable, f.pending = map[string]*inode{}, map[string]*inode{}, nil
 	f.generation++
@@ -160,16 +161,17 @@
 	}
 }
 
-// effect is how much of an operation takes place.
+// effect is how much of an operation takes effect.
 type effect int
 
 const (
 	nothing effect = iota
-	half           // of a write; nothing of another operation
+	half           // half of a write; nothing of any other operation
 	complete
 )
 
-// beginOperation counts an operation, and returns how much of it to do and the error to return then.
+// beginOperation counts an operation, and returns how much of it to perform and the error to return after
+// that.
 func (f *FS) beginOperation() (effect, error) {
 	if f.down {
 		return nothing, ErrCrashed
@@ -204,8 +206,8 @@
 	return fmt.Errorf("faultfs: %s: %w; create it first", name, fs.ErrNotExist)
 }
 
-// folderOf returns the folder part of a name.
-func folderOf(name string) string {
+// dirOf returns the directory part of a name.
+func dirOf(name string) string {
 	slash := strings.LastIndexByte(name, '/')
 	return name[:max(slash, 0)]
 }
--- a/internal/segmentlog/faultfs/inode.go
+++ b/internal/segmentlog/faultfs/inode.go
@@ -5,27 +5,27 @@
 	"math/rand"
 )
 
-// inode is a file's content, as it is and as it is on the medium, with the writes between the two.
+// inode is a file's current content, its durable content, and the unsynced writes between the two.
 type inode struct {
-	data     []byte  // as it is
-	durable  []byte  // as it would be after a power loss that loses all
+	data     []byte  // current content
+	durable  []byte  // content after a power loss with LoseAll
 	unsynced []write // since the last sync, in order
 }
 
-// write is a change of a content that was not synced: data at an offset, or a new size.
+// write is an unsynced change of a file's content: data at an offset, or a new size.
 type write struct {
 	offset  int64 // or the new size in bytes
 	data    []byte
 	resizes bool
 }
 
-// write writes data at an offset, and records that until the next sync.
+// write writes data at an offset, and records the write until the next sync.
 func (i *inode) write(data []byte, offset int64) {
 	i.data = writeAt(i.data, data, offset)
 	i.unsynced = append(i.unsynced, write{offset: offset, data: bytes.Clone(data)})
 }
 
-// truncate sets the content's size, and records that until the next sync.
+// truncate sets the content's size, and records the change until the next sync.
 func (i *inode) truncate(size int64) {
 	i.data = resize(i.data, size)
 	i.unsynced = append(i.unsynced, write{offset: size, resizes: true})
@@ -48,10 +48,11 @@
 	i.data, i.durable, i.unsynced = content, bytes.Clone(content), nil
 }
 
-// keptPercents are the parts of a write's sectors that survive a power loss; one is drawn for each write.
+// keptPercents are the percentages of a write's sectors that survive a power loss, on average; one is drawn
+// for each write.
 var keptPercents = []int{0, 50, 90, 100}
 
-// applySome applies those sectors of the write to a content that are drawn.
+// applySome applies randomly selected sectors of the write to a content.
 func (w write) applySome(content []byte, random *rand.Rand) []byte {
 	keptPercent := keptPercents[random.Intn(len(keptPercents))]
 	for start := 0; start < len(w.data); {
--- a/internal/segmentlog/faultfs/operations.go
+++ b/internal/segmentlog/faultfs/operations.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/segmentlog"
 )
 
-// MakeDir implements segmentlog.FS. Folders exist with their files.
+// MakeDir implements segmentlog.FS. Directories need not be created: they are part of the files' names.
 func (f *FS) MakeDir(string) error {
 	if f.down {
 		return ErrCrashed
@@ -23,7 +23,7 @@
 	}
 	var names []string
 	for name := range f.current {
-		if folderOf(name) == dir {
+		if dirOf(name) == dir {
 			names = append(names, strings.TrimPrefix(name, dir+"/"))
 		}
 	}
@@ -105,7 +105,7 @@
 	f.Syncs++
 	remaining := f.pending[:0]
 	for _, change := range f.pending {
-		if folderOf(change.from+change.to) != dir && folderOf(change.to) != dir {
+		if dirOf(change.from+change.to) != dir && dirOf(change.to) != dir {
 			remaining = append(remaining, change)
 			continue
 		}
@@ -115,7 +115,7 @@
 	return err
 }
 
-// changeName changes a name, and records that until the folder is synced.
+// changeName applies a name change, and records it until the directory is synced.
 func (f *FS) changeName(change nameChange) {
 	change.apply(f.current)
 	f.pending = append(f.pending, change)
@@ -125,7 +125,7 @@
 type handle struct {
 	fs         *FS
 	file       *inode
-	generation int // of the file system when it was opened
+	generation int // the file system's generation when the file was opened
 }
 
 // beginOperation counts an operation on the file as FS.beginOperation does.
@@ -158,7 +158,8 @@
 	return len(data), nil
 }
 
-// free returns how many bytes can be written at an offset of the file, below 0 where the disk is over-full.
+// free returns how many bytes can be written at an offset of the file; negative if more than the capacity is
+// used.
 func (h *handle) free(offset int64) int64 {
 	if h.fs.Capacity == 0 {
 		return math.MaxInt64
--- a/internal/segmentlog/frame.go
+++ b/internal/segmentlog/frame.go
@@ -5,7 +5,7 @@
 	"hash/crc32"
 )
 
-// A frame is a header and a payload of records, each with its length before it.
+// A frame is a header and a payload, which is a sequence of records, each preceded by its length.
 const (
 	// frameHeaderSize is the size of payload length, sequence, payload checksum and header checksum, in bytes.
 	frameHeaderSize = 4 + 8 + 4 + 4
@@ -15,7 +15,7 @@
 	maxPayload = 32 << 20
 )
 
-// castagnoli is the polynomial of all checksums.
+// castagnoli is the CRC-32C table, which all checksums use.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // frameSize returns the size of the frame of some records in bytes.
@@ -52,8 +52,9 @@
 // isSyncMarker reports whether a frame is a sync marker. A snapshot, too, may have no records.
 func (f *frame) isSyncMarker() bool { return len(f.records) == 0 && f.sequence > 0 }
 
-// frameHeaderChecksum covers a frame's header and the number of its segment, so that the bytes of a frame
-// that are the data of another file's record aren't taken for a frame of this segment.
+// frameHeaderChecksum returns the checksum of a frame's header and its segment's number. The number keeps a
+// frame that was copied from another segment, for example as the data of a record, from being taken for a
+// frame of this one.
 func frameHeaderChecksum(header []byte, segment uint64) uint32 {
 	sum := crc32.Checksum(header[:16], castagnoli)
 	return crc32.Update(sum, castagnoli, binary.LittleEndian.AppendUint64(nil, segment))
@@ -66,31 +67,32 @@
 	size     int
 }
 
-// decodeFrame decodes the frame at the start of data. The reason says why that is no valid frame of the
-// segment, and is empty if it is one.
+// decodeFrame decodes the frame at the start of data. If that is not a valid frame of the segment, the
+// returned string says why; otherwise it is empty.
 func decodeFrame(data []byte, segment uint64) (frame, string) {
 	if len(data) < frameHeaderSize {
-		return frame{}, "the frame's header is short"
+		return frame{}, "the frame header is truncated"
 	}
 	size, headerValid := frameExtent(data, segment)
 	if !headerValid {
-		return frame{}, "the checksum of the frame's header differs"
+		return frame{}, "frame header checksum mismatch"
 	}
 	if size > int64(len(data)) {
-		return frame{}, "the frame is short"
+		return frame{}, "the frame is truncated"
 	}
 	payload := data[frameHeaderSize:size]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(data[12:]) {
-		return frame{}, "the frame's checksum differs"
+		return frame{}, "frame payload checksum mismatch"
 	}
 	records, ok := splitRecords(payload)
 	if !ok {
-		return frame{}, "the frame's records don't fill it"
+		return frame{}, "the record lengths do not match the frame size"
 	}
 	return frame{binary.LittleEndian.Uint64(data[4:]), records, int(size)}, ""
 }
 
-// frameExtent returns the size of the frame at the start of data by its header, and whether that is valid.
+// frameExtent returns the size in bytes that the header at the start of data gives for its frame, and whether
+// that header is valid.
 func frameExtent(data []byte, segment uint64) (int64, bool) {
 	if len(data) < frameHeaderSize {
 		return 0, false
@@ -99,7 +101,7 @@
 	return frameHeaderSize + int64(binary.LittleEndian.Uint32(data)), valid
 }
 
-// splitRecords splits a payload into its records; false if they don't fill it.
+// splitRecords splits a payload into its records. It returns false if their lengths don't match its size.
 func splitRecords(payload []byte) ([][]byte, bool) {
 	var records [][]byte
 	for len(payload) > 0 {
--- a/internal/segmentlog/fs.go
+++ b/internal/segmentlog/fs.go
@@ -1,23 +1,24 @@
 package segmentlog
 
-// FS is what the log needs of a file system. Names are paths as the implementation understands them; the log
-// joins a folder and a file name by a slash. Package faultfs has one in memory with faults.
+// FS is the file system that the log is stored in. Names are paths as the implementation understands them;
+// the log joins a directory and a file name by a slash. Package faultfs has an in-memory implementation that
+// injects faults.
 type FS interface {
-	// MakeDir makes a folder and its parents where they don't exist.
+	// MakeDir creates a directory and its parents where they don't exist.
 	MakeDir(dir string) error
-	// List returns the names of the files in a folder, in any order.
+	// List returns the names of the files in a directory, in any order.
 	List(dir string) ([]string, error)
 	// ReadFile returns a file's content.
 	ReadFile(name string) ([]byte, error)
-	// Create opens a file for writing and makes it, or truncates the one that exists.
+	// Create creates a file, or truncates it if it exists, and opens it for writing.
 	Create(name string) (File, error)
 	// Open opens an existing file for writing.
 	Open(name string) (File, error)
-	// Rename gives a file a new name. That is durable once the folder is synced.
+	// Rename renames a file. The new name is durable once the directory is synced.
 	Rename(from, to string) error
-	// Remove removes a file's name. That is durable once the folder is synced.
+	// Remove removes a file's name. The removal is durable once the directory is synced.
 	Remove(name string) error
-	// SyncDir makes the names in a folder durable.
+	// SyncDir makes the names in a directory durable.
 	SyncDir(dir string) error
 }
 
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -11,9 +11,10 @@
 	"cresshub/internal/segmentlog"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// The golden segments are one as it is first appended to, and the one that took its place with a snapshot.
+// The golden segments are a log's first segment with appended frames, and the segment with a snapshot that
+// replaced it.
 const (
 	appendedSegment  = "0000000000000001.segment"
 	compactedSegment = "0000000000000002.segment"
@@ -22,9 +23,9 @@
 func goldenPath(segment string) string { return filepath.Join("testdata", "golden", segment) }
 
 // checkGolden compares a segment that was written with the golden one byte for byte.
-func checkGolden(c *qt.C, folder, segment string) {
+func checkGolden(c *qt.C, logDir, segment string) {
 	c.Helper()
-	written, err := os.ReadFile(filepath.Join(folder, segment))
+	written, err := os.ReadFile(filepath.Join(logDir, segment))
 	c.Assert(err, qt.IsNil)
 	if *update {
 		c.Assert(os.MkdirAll(filepath.Dir(goldenPath(segment)), 0o755), qt.IsNil)
@@ -43,22 +44,22 @@
 	return [][][]byte{{[]byte("snapshot"), []byte("of all")}, {[]byte("behind the snapshot")}}
 }
 
-// TestGoldenSegmentsAreWrittenByteForByte writes what the golden segments hold: header, snapshot, frames of
-// one and of more records, and the mark behind the last frame.
+// TestGoldenSegmentsAreWrittenByteForByte writes the content of the golden segments: header, snapshot, frames
+// of one and of several records, and the sync marker after the last frame.
 func TestGoldenSegmentsAreWrittenByteForByte(t *testing.T) {
 	c := qt.New(t)
-	folder := t.TempDir()
-	log, _, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
+	logDir := t.TempDir()
+	log, _, err := segmentlog.Open(segmentlog.OSFS{}, logDir, segmentlog.Options{})
 	c.Assert(err, qt.IsNil)
 	for _, records := range appendedFrames() {
 		c.Assert(log.Append(records...), qt.IsNil)
 	}
-	checkGolden(c, folder, appendedSegment)
+	checkGolden(c, logDir, appendedSegment)
 	frames := compactedFrames()
 	c.Assert(log.Compact(frames[0]), qt.IsNil)
 	c.Assert(log.Append(frames[1]...), qt.IsNil)
 	c.Assert(log.Close(), qt.IsNil)
-	checkGolden(c, folder, compactedSegment)
+	checkGolden(c, logDir, compactedSegment)
 }
 
 // TestGoldenSegmentsAreRead opens a copy of each golden segment, and inspects it.
@@ -67,24 +68,24 @@
 		appendedSegment: appendedFrames(), compactedSegment: compactedFrames()} {
 		t.Run(segment, func(t *testing.T) {
 			c := qt.New(t)
-			folder := t.TempDir()
+			logDir := t.TempDir()
 			golden, err := os.ReadFile(goldenPath(segment))
 			c.Assert(err, qt.IsNil)
-			c.Assert(os.WriteFile(filepath.Join(folder, segment), golden, 0o600), qt.IsNil)
-			var wanted [][]byte
+			c.Assert(os.WriteFile(filepath.Join(logDir, segment), golden, 0o600), qt.IsNil)
+			var want [][]byte
 			for _, records := range frames {
-				wanted = append(wanted, records...)
+				want = append(want, records...)
 			}
-			reports, err := segmentlog.Inspect(segmentlog.OSFS{}, folder)
+			reports, err := segmentlog.Inspect(segmentlog.OSFS{}, logDir)
 			c.Assert(err, qt.IsNil)
 			c.Assert(reports, qt.HasLen, 1)
 			c.Assert(reports[0].Problem, qt.IsNil)
 			c.Assert(reports[0].TornBytes, qt.Equals, int64(0))
-			c.Assert(reports[0].Records, qt.DeepEquals, wanted)
-			log, records, err := segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
+			c.Assert(reports[0].Records, qt.DeepEquals, want)
+			log, records, err := segmentlog.Open(segmentlog.OSFS{}, logDir, segmentlog.Options{})
 			c.Assert(err, qt.IsNil)
 			defer log.Close()
-			c.Assert(records, qt.DeepEquals, wanted)
+			c.Assert(records, qt.DeepEquals, want)
 		})
 	}
 }
--- a/internal/segmentlog/inspect.go
+++ b/internal/segmentlog/inspect.go
@@ -6,23 +6,23 @@
 type SegmentReport struct {
 	Name string
 	Size int64 // in bytes
-	// Current says that this segment is the log; any other is a leftover that the next Open removes.
+	// Current is whether this segment is the log; any other is a leftover that the next Open removes.
 	Current bool
 	Frames  int
 	Records [][]byte
-	// TornBytes is the number of bytes after the last valid frame that a crash left; the next Open truncates
+	// TornBytes is the number of bytes that a crash left after the last valid frame; the next Open truncates
 	// them.
 	TornBytes int64
 	// Problem is the error that Open would return for the segment, or nil.
 	Problem error
 }
 
-// Inspect reads all segments of a folder, lowest number first, and changes nothing. The error is that of
-// listing the folder.
+// Inspect reads all segments of a directory, lowest number first, and changes nothing. It returns an error
+// only if the directory can't be listed.
 func Inspect(fsys FS, dir string) ([]SegmentReport, error) {
 	numbers, err := segmentNumbers(fsys, dir)
 	if err != nil {
-		return nil, fmt.Errorf("segment log: list %s: %w; name a folder that can be read", dir, err)
+		return nil, fmt.Errorf("segment log: list %s: %w; name a directory that can be read", dir, err)
 	}
 	var reports []SegmentReport
 	for i, number := range numbers {
--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -8,9 +8,10 @@
 // Options are what a log's owner may set.
 type Options struct {
 	// Snapshot returns records that replace all appended so far, including those of the Append that calls it.
-	// Without it the log begins a new segment only by Compact.
+	// If it is nil, only Compact begins a new segment.
 	Snapshot func() [][]byte
-	// MaxGrowth is how far a segment grows beyond its snapshot before Append begins a new one, in bytes.
+	// MaxGrowth is how far a segment may grow beyond its snapshot, in bytes, before Append calls Snapshot and
+	// begins a new segment.
 	MaxGrowth int64
 }
 
@@ -25,16 +26,18 @@
 	nextSequence uint64 // of the next frame
 	snapshotEnd  int64  // offset of the first frame after the snapshot
 	end          int64  // offset of the next frame
-	// dirty says that there may be bytes after end, which have to be truncated before the next frame.
+	// dirty is set while there may be invalid bytes after end, which repair truncates before the next frame.
 	dirty bool
-	// abandoned is the path of a segment that was given up and has to be removed before the next frame.
+	// abandoned is the path of a new segment whose directory sync failed; it is "" or has to be removed before
+	// the next frame.
 	abandoned string
 	closed    bool
 }
 
-// Append makes records durable as one unit. If the segment would grow beyond Options.MaxGrowth, a new
-// segment with a snapshot takes the place of the frame. After an error, which is ErrClosed, a *WriteError or
-// that of too many bytes at once, none of the records counts and the log is as before.
+// Append makes records durable as one unit. If the segment would grow beyond Options.MaxGrowth, Append begins
+// a new segment with a snapshot instead of writing a frame; if that fails, it writes the frame. It returns
+// ErrClosed, a *WriteError, or an error if the records exceed the size limit. After an error none of the
+// records counts and the log is as before.
 func (l *Log) Append(records ...[]byte) error {
 	if l.closed {
 		return ErrClosed
@@ -44,7 +47,7 @@
 	}
 	size := frameSize(records)
 	if size-frameHeaderSize > maxPayload {
-		return fmt.Errorf("segment log: %d bytes at once, %d are the most; write less at once", size, maxPayload)
+		return fmt.Errorf("segment log: append %d bytes: the limit is %d; write less at once", size, maxPayload)
 	}
 	if l.options.Snapshot != nil && l.end+size > l.snapshotEnd+l.options.MaxGrowth {
 		if l.Compact(l.options.Snapshot()) == nil {
@@ -75,16 +78,16 @@
 	return nil
 }
 
-// writeSyncMarker writes after the last frame that this was synced, so that corruption of it is not taken for
-// a torn write. The marker itself is not synced: a crash may lose it, and no more than this knowledge with
-// it.
+// writeSyncMarker writes a marker after the last frame, which records that this frame was synced, so that
+// its corruption is not taken for a torn write. The marker itself is not synced: if a crash loses it, no
+// record is lost, but corruption of the frame may then be taken for a torn write.
 func (l *Log) writeSyncMarker() {
 	if _, err := l.file.WriteAt(syncMarker(l.segment, l.nextSequence), l.end); err != nil {
 		l.dirty = true
 	}
 }
 
-// repair removes what a failed write or a failed compaction may have left.
+// repair removes the bytes that a failed write, or the segment that a failed compaction, may have left.
 func (l *Log) repair() error {
 	if err := l.removeAbandoned(); err != nil {
 		return err
@@ -106,7 +109,7 @@
 // Size returns the size of the log's segment in bytes.
 func (l *Log) Size() int64 { return l.end }
 
-// Close closes the log. All that was appended is durable already.
+// Close closes the log. It needs no sync, because Append has synced every record.
 func (l *Log) Close() error {
 	if l.closed {
 		return ErrClosed
@@ -115,7 +118,7 @@
 	return l.file.Close()
 }
 
-// path returns the path of a file in the log's folder.
+// path returns the path of a file in the log's directory.
 func (l *Log) path(name string) string { return l.dir + "/" + name }
 
 // currentPath returns the path of the log's segment.
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -18,7 +18,7 @@
 
 const dir = "state"
 
-// register is an owner of a log whose state is its last record.
+// register is a log's owner whose state is the last record.
 type register struct {
 	log  *segmentlog.Log
 	last []byte
@@ -56,15 +56,15 @@
 func TestRecordsAreReadBackInOrder(t *testing.T) {
 	c := qt.New(t)
 	for _, fs := range []segmentlog.FS{faultfs.New(), segmentlog.OSFS{}} {
-		folder := filepath.Join(t.TempDir(), dir)
-		log, records, err := segmentlog.Open(fs, folder, segmentlog.Options{})
+		logDir := filepath.Join(t.TempDir(), dir)
+		log, records, err := segmentlog.Open(fs, logDir, segmentlog.Options{})
 		c.Assert(err, qt.IsNil)
 		c.Assert(records, qt.HasLen, 0)
 		c.Assert(log.Append([]byte("one"), nil), qt.IsNil)
 		c.Assert(log.Append([]byte("three")), qt.IsNil)
 		c.Assert(log.Close(), qt.IsNil)
 		c.Assert(log.Append(nil), qt.Equals, segmentlog.ErrClosed)
-		_, records, err = segmentlog.Open(fs, folder, segmentlog.Options{})
+		_, records, err = segmentlog.Open(fs, logDir, segmentlog.Options{})
 		c.Assert(err, qt.IsNil)
 		c.Assert(fmt.Sprintf("%s", records), qt.Equals, "[one  three]")
 	}
@@ -88,8 +88,8 @@
 	c.Assert(string(r.last), qt.Equals, "value 49")
 }
 
-// TestFaultAtEachOperation injects a fault at each numbered operation in turn, with each kind of fault and
-// loss: what is read back is the value that was acknowledged last, or the one that was being written.
+// TestFaultAtEachOperation injects each kind of fault at each numbered operation, followed by each kind of
+// loss. The value that is read back must be the last one acknowledged or the one that was being written.
 func TestFaultAtEachOperation(t *testing.T) {
 	c := qt.New(t)
 	losses := []faultfs.Loss{faultfs.KeepAll, faultfs.LoseAll, faultfs.LoseSome}
@@ -106,8 +106,8 @@
 	}
 }
 
-// runWithFault writes values with a fault at one operation and checks what is read back after each of the
-// losses. It returns false if the run had too few operations for the fault.
+// runWithFault writes values with a fault at one operation and checks the value that is read back after each
+// of the losses. It returns false if the run ended before it reached that operation.
 func runWithFault(c *qt.C, fault faultfs.Fault, losses []faultfs.Loss, operation int) bool {
 	c.Helper()
 	random := rand.New(rand.NewSource(int64(operation)))
@@ -180,8 +180,8 @@
 	c.Assert(log.Append(make([]byte, 33<<20)), qt.ErrorMatches, ".*write less at once")
 }
 
-// TestOpenOrResetStartsEmptyAfterCorruption crashes the reset at each operation: neither the
-// corrupt segment nor an older one that a crash has left ever counts again.
+// TestOpenOrResetStartsEmptyAfterCorruption crashes the reset at each operation: no record of the corrupt
+// segment, or of an older one that a crash has left, is ever read again.
 func TestOpenOrResetStartsEmptyAfterCorruption(t *testing.T) {
 	c := qt.New(t)
 	for number := 1; ; number++ {
@@ -222,14 +222,14 @@
 
 func TestNewerFormatIsRejected(t *testing.T) {
 	c := qt.New(t)
-	folder, file := writeLog(c)
+	logDir, file := writeLog(c)
 	data, err := os.ReadFile(file)
 	c.Assert(err, qt.IsNil)
 	data[len("CHSEGLOG")] = 2
 	sum := crc32.Checksum(data[:segmentHeaderSize-4], crc32.MakeTable(crc32.Castagnoli))
 	binary.LittleEndian.PutUint32(data[segmentHeaderSize-4:], sum)
 	c.Assert(os.WriteFile(file, data, 0o600), qt.IsNil)
-	_, _, err = segmentlog.Open(segmentlog.OSFS{}, folder, segmentlog.Options{})
+	_, _, err = segmentlog.Open(segmentlog.OSFS{}, logDir, segmentlog.Options{})
 	c.Assert(err, qt.ErrorMatches, ".*has format 2 and this release reads up to 1; start the newer release.*")
 }
 
--- a/internal/segmentlog/open.go
+++ b/internal/segmentlog/open.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// Open opens the log in a folder, or begins one there, and returns its records, all of which are durable. The
-// error is a *CorruptionError, a *NewerFormatError, a *WriteError or wraps that of the file system.
+// Open opens the log in a directory, or creates one there, and returns its records, all of which are durable.
+// The error is a *CorruptionError, a *NewerFormatError, a *WriteError or wraps that of the file system.
 func Open(fsys FS, dir string, options Options) (*Log, [][]byte, error) {
 	log := &Log{fsys: fsys, dir: dir, options: options.withDefaults()}
 	if err := fsys.MakeDir(dir); err != nil {
-		return nil, nil, fmt.Errorf("segment log: make %s: %w; make the folder or name another", dir, err)
+		return nil, nil, fmt.Errorf("segment log: create %s: %w; create the directory or name another", dir, err)
 	}
 	numbers, err := segmentNumbers(fsys, dir)
 	if err != nil {
-		return nil, nil, fmt.Errorf("segment log: list %s: %w; let this user read the folder", dir, err)
+		return nil, nil, fmt.Errorf("segment log: list %s: %w; let this user read the directory", dir, err)
 	}
 	if len(numbers) == 0 {
 		return log, nil, log.startSegment(nil)
@@ -27,9 +27,9 @@
 	return log, records, nil
 }
 
-// OpenOrReset opens the log as Open does. If it is corrupt it begins an empty one in its place, and returns
-// the corruption as well. That is safe for an owner that then takes a new identity, so that nobody counts on
-// what it acknowledged under the old one.
+// OpenOrReset opens the log as Open does. If the log is corrupt, OpenOrReset replaces it by an empty one and
+// also returns the corruption. That is safe for an owner that then takes a new identity, so that no other
+// process relies on what it acknowledged under the old one.
 func OpenOrReset(fsys FS, dir string, options Options) (*Log, [][]byte, *CorruptionError, error) {
 	log, records, err := Open(fsys, dir, options)
 	var corruption *CorruptionError
@@ -38,9 +38,10 @@
 	}
 	numbers, err := segmentNumbers(fsys, dir)
 	if err != nil {
-		return nil, nil, nil, fmt.Errorf("segment log: list %s: %w; let this user read the folder", dir, err)
+		return nil, nil, nil, fmt.Errorf("segment log: list %s: %w; let this user read the directory", dir, err)
 	}
-	// The new segment has the highest number before the corrupt one is removed: no older one can come back.
+	// The new segment gets the highest number before the corrupt one is removed, so that a crash between the
+	// two can't make an older segment the log again.
 	log = &Log{fsys: fsys, dir: dir, options: options.withDefaults(), segment: numbers[len(numbers)-1]}
 	if err := log.startSegment(nil); err != nil {
 		return nil, nil, nil, err
@@ -57,8 +58,8 @@
 	return o
 }
 
-// recoverSegment reads a segment, truncates a torn end and syncs what remains: what a killed process had
-// written but not synced must not count before it is durable.
+// recoverSegment reads a segment, truncates a torn last frame and syncs the rest: records that a killed
+// process had written but not synced must be durable before Open returns them.
 func (l *Log) recoverSegment(number uint64) ([][]byte, error) {
 	name := l.path(segmentName(number))
 	data, err := l.fsys.ReadFile(name)
@@ -83,7 +84,7 @@
 	return result.records, nil
 }
 
-// syncRecovered makes file and folder durable as they were read.
+// syncRecovered truncates a torn last frame and makes the segment and its name durable.
 func (l *Log) syncRecovered() error {
 	if err := l.repair(); err != nil {
 		return err
@@ -92,7 +93,7 @@
 		return &WriteError{l.currentPath(), "sync", err}
 	}
 	if err := l.fsys.SyncDir(l.dir); err != nil {
-		return &WriteError{l.dir, "sync the folder", err}
+		return &WriteError{l.dir, "sync the directory", err}
 	}
 	return nil
 }
--- a/internal/segmentlog/osfs.go
+++ b/internal/segmentlog/osfs.go
@@ -2,17 +2,18 @@
 
 import "os"
 
-// Permissions of what the log makes: its content is the operator's configuration.
+// Permissions of the directory and the files that the log creates. Only the owner may read them, because the
+// log contains the operator's configuration.
 const (
-	folderMode = 0o700
-	fileMode   = 0o600
+	dirMode  = 0o700
+	fileMode = 0o600
 )
 
-// OSFS is the machine's own file system.
+// OSFS is the file system of the operating system.
 type OSFS struct{}
 
 // MakeDir implements FS.
-func (OSFS) MakeDir(dir string) error { return os.MkdirAll(dir, folderMode) }
+func (OSFS) MakeDir(dir string) error { return os.MkdirAll(dir, dirMode) }
 
 // List implements FS.
 func (OSFS) List(dir string) ([]string, error) {
@@ -58,13 +59,13 @@
 
 // SyncDir implements FS.
 func (OSFS) SyncDir(dir string) error {
-	folder, err := os.Open(dir)
+	directory, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	if err := folder.Sync(); err != nil {
-		folder.Close()
+	if err := directory.Sync(); err != nil {
+		directory.Close()
 		return err
 	}
-	return folder.Close()
+	return directory.Close()
 }
--- a/internal/segmentlog/scan.go
+++ b/internal/segmentlog/scan.go
@@ -8,7 +8,7 @@
 // sectorSize is the unit that a disk writes completely or not at all, in bytes.
 const sectorSize = 512
 
-// scanResult is what a segment holds.
+// scanResult is the content of a segment.
 type scanResult struct {
 	records [][]byte
 	frames  int
@@ -16,13 +16,14 @@
 	nextSequence uint64
 	// snapshotEnd and validEnd are the offsets where the snapshot and the last valid frame end.
 	snapshotEnd, validEnd int64
-	// endsWithMarker says that the last valid frame is a sync marker.
+	// endsWithMarker is whether the last valid frame is a sync marker.
 	endsWithMarker bool
-	// tornBytes is the number of bytes after validEnd that a crash has left.
+	// tornBytes is the number of bytes that a crash has left after validEnd.
 	tornBytes int64
 }
 
-// scanSegment reads a segment. It returns a *CorruptionError or *NewerFormatError for what no crash explains.
+// scanSegment decodes a segment. It returns a *NewerFormatError, or a *CorruptionError for content that a
+// crash can't have left.
 func scanSegment(file string, data []byte, segment uint64) (scanResult, error) {
 	if err := checkHeader(file, data, segment); err != nil {
 		return scanResult{}, err
@@ -31,7 +32,7 @@
 	for result.validEnd < int64(len(data)) {
 		f, reason := decodeFrame(data[result.validEnd:], segment)
 		if reason == "" && f.sequence != result.nextSequence {
-			reason = "the frame's sequence is not the next one"
+			reason = "unexpected frame sequence number"
 		}
 		if reason != "" {
 			return classifyTail(file, data, segment, result, reason)
@@ -66,9 +67,9 @@
 	}
 }
 
-// classifyTail decides whether an invalid frame at result.validEnd is a torn end or corruption, for the
-// reason given. The snapshot was synced before the segment got its name, and a frame is written only after
-// the one before it was synced, so that only the last frame can be torn.
+// classifyTail decides whether the frame at result.validEnd, which is invalid for the given reason, was torn
+// by a crash or is corrupt. The snapshot was synced before the segment got its name, and a frame is written
+// only after the one before it was synced, so that only the last frame can be torn.
 func classifyTail(file string, data []byte, segment uint64, result scanResult, reason string) (
 	scanResult, error) {
 	tail := data[result.validEnd:]
@@ -81,7 +82,7 @@
 	return result, nil
 }
 
-// hasLaterFrame looks for a valid frame with a later sequence at any offset but the first.
+// hasLaterFrame reports whether tail has a valid frame with a later sequence at any offset but the first.
 func hasLaterFrame(tail []byte, segment, sequence uint64) bool {
 	for offset := 1; offset+frameHeaderSize <= len(tail); offset++ {
 		f, reason := decodeFrame(tail[offset:], segment)
@@ -94,7 +95,8 @@
 
 // mayBeTorn reports whether a crash can have left the invalid last frame at the start of tail. A crash leaves
 // each sector of a write as it was or as it should be: the file ends early, or the part of the frame in one
-// sector is what was there before. A frame of which nothing is missing has been changed since it was written.
+// sector is what was there before. An invalid frame without a missing part is corrupt: it has been changed
+// since it was written.
 func mayBeTorn(tail []byte, segment uint64, result *scanResult) bool {
 	if result.endsWithMarker || len(tail) <= frameHeaderSize {
 		return true // the marker is still there, or no more than the marker is invalid
@@ -103,7 +105,7 @@
 	if headerValid && size > int64(len(tail)) {
 		return true // the file ends early
 	}
-	// Also an invalid header may have the right size: part of the next marker may stand after the frame.
+	// Even an invalid header may give the right size, and then part of the next marker may follow the frame.
 	written := tail[:min(size, int64(len(tail)))]
 	if lacksStartOrEnd(written) {
 		return true
@@ -135,9 +137,9 @@
 	return false
 }
 
-// lacksStartOrEnd reports whether the first or the last bytes of a frame were not written. Disks that tear a
-// write inside a sector leave that: a length of zero, which only markers have, or a zero at the end, which no
-// owner's record has.
+// lacksStartOrEnd reports whether the first or the last bytes of a frame were not written. A disk that tears
+// a write inside a sector leaves either a payload length of zero, which only markers have, or a zero byte at
+// the end, which no owner's record has.
 func lacksStartOrEnd(frame []byte) bool {
 	return binary.LittleEndian.Uint32(frame) == 0 || frame[len(frame)-1] == 0
 }
--- a/internal/segmentlog/segment.go
+++ b/internal/segmentlog/segment.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// A segment is a header and frames, see frame.go. All numbers are little-endian. The header has the same
-// layout in each format version, so that corruption of the version is not taken for a newer one.
+// A segment is a header followed by frames, see frame.go. All numbers are little-endian. The header has the
+// same layout in each format version, so that its checksum distinguishes a newer version from a corrupt one.
 const (
 	magic         = "CHSEGLOG"
 	formatVersion = 1
@@ -49,22 +49,22 @@
 // checkHeader checks a segment's header. It returns a *CorruptionError, or a *NewerFormatError.
 func checkHeader(file string, data []byte, number uint64) error {
 	if len(data) < headerSize || string(data[:len(magic)]) != magic {
-		return &CorruptionError{File: file, Reason: "no header of a segment"}
+		return &CorruptionError{File: file, Reason: "no segment header"}
 	}
 	sum := binary.LittleEndian.Uint32(data[headerSize-4:])
 	if crc32.Checksum(data[:headerSize-4], castagnoli) != sum {
-		return &CorruptionError{File: file, Reason: "the header's checksum differs"}
+		return &CorruptionError{File: file, Reason: "segment header checksum mismatch"}
 	}
 	if version := binary.LittleEndian.Uint32(data[len(magic):]); version > formatVersion {
 		return &NewerFormatError{File: file, Version: version}
 	}
 	if binary.LittleEndian.Uint64(data[len(magic)+4:]) != number {
-		return &CorruptionError{File: file, Reason: "the header names another segment"}
+		return &CorruptionError{File: file, Reason: "the header has the number of another segment"}
 	}
 	return nil
 }
 
-// segmentNumbers returns the numbers of the segments in a folder, lowest first.
+// segmentNumbers returns the numbers of the segments in a directory, lowest first.
 func segmentNumbers(fsys FS, dir string) ([]uint64, error) {
 	names, err := fsys.List(dir)
 	if err != nil {
