--- a/internal/router/latereport/latereport_test.go
+++ b/internal/router/latereport/latereport_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// prefillCall returns a served prefill that took so many milliseconds.
+// prefillCall returns a served prefill that took durationMs.
 func prefillCall(id, prefix string, promptTokens, prefillTokens int, durationMs float64) Call {
 	return Call{
 		AttemptID: id, Route: "r", TargetMs: 300, Server: "s", Role: rolePrefill, Outcome: outcomeServed,
@@ -15,7 +15,7 @@
 	}
 }
 
-// decodeCall returns a served call that makes the response.
+// decodeCall returns a served call that generates the response.
 func decodeCall(id string, startMs, firstEventMs float64) Call {
 	return Call{
 		AttemptID: id, Route: "r", TargetMs: 300, Role: "decode", Outcome: outcomeServed, StartMs: startMs,
@@ -24,7 +24,7 @@
 }
 
 func TestLateResponsesAreAttributedToTheirMainCause(t *testing.T) {
-	quick := prefillCall("quick", "a", 10000, 10000, 100) // 0.01 ms a token
+	fastest := prefillCall("quick", "a", 10000, 10000, 100) // 0.01 ms per token
 	for _, test := range []struct {
 		name  string
 		calls []Call
@@ -49,7 +49,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := Summarize(append([]Call{quick}, test.calls...))
+			s := Summarize(append([]Call{fastest}, test.calls...))
 			c.Assert(s.PrefillMsPerToken, qt.Equals, 0.01)
 			if test.want == nil {
 				c.Assert(s.Routes, qt.HasLen, 0)
--- a/internal/router/latereport/summary.go
+++ b/internal/router/latereport/summary.go
@@ -6,24 +6,26 @@
 	"slices"
 )
 
-// Cause is the part of a request that took most of the time of a late response. Its value names it in tables
-// and in JSON.
+// Cause is the part of a request that took most of the time until a late response. Its value is its name in
+// tables and in JSON.
 type Cause string
 
 // The causes of late responses.
 const (
-	// CauseOwnPrefill: prefill of what no server had cached takes longer than the target by itself, so that no
-	// choice of servers would have been in time.
+	// CauseOwnPrefill: prefilling the tokens that no server had cached takes longer than the target by itself,
+	// so that the response would have been late whichever server was chosen.
 	CauseOwnPrefill Cause = "own_prefill"
-	// CauseRepeatedPrefill: prefill of what another server had prefilled before.
+	// CauseRepeatedPrefill: prefilling a whole prompt although a server had prefilled its shared prefix for
+	// another request.
 	CauseRepeatedPrefill Cause = "repeated_prefill"
-	// CausePrefillQueue: time at the prefill server beyond the prefill itself.
+	// CausePrefillQueue: time at the prefill server beyond the estimated time of the prefill itself.
 	CausePrefillQueue Cause = "prefill_queue"
-	// CauseDecode: time at the server that made the response, up to its first event.
+	// CauseDecode: time at the server that generated the response, up to its first event.
 	CauseDecode Cause = "decode"
-	// CauseRetries: calls that failed before.
+	// CauseRetries: calls before the one that generated the response, except served prefills; usually failed
+	// calls that were then retried.
 	CauseRetries Cause = "retries"
-	// CausePrefill: prefill that would have been in time by itself, but took the largest part.
+	// CausePrefill: prefilling that by itself was within the target, but took the largest part of the time.
 	CausePrefill Cause = "prefill"
 )
 
@@ -38,10 +40,10 @@
 	TargetMs float64       `json:"target_ms"`
 	Answered int           `json:"answered"`
 	Late     int           `json:"late"`
-	Causes   map[Cause]int `json:"causes"` // of the late ones
+	Causes   map[Cause]int `json:"causes"` // number of late responses by cause
 }
 
-// Summary is what a log says about late responses.
+// Summary summarizes the late responses in a log.
 type Summary struct {
 	// PrefillMsPerToken is the time to prefill a token without queueing, estimated from the fastest calls.
 	PrefillMsPerToken float64 `json:"token_ms"`
@@ -51,7 +53,7 @@
 // Summarize attributes each late response to its cause, given the calls of one or several proxies.
 func Summarize(calls []Call) *Summary {
 	s := &summarizer{
-		prefillMsPerToken: fastestPrefillPace(calls),
+		prefillMsPerToken: fastestPrefillMsPerToken(calls),
 		firstPrefills:     firstPrefills(calls),
 		routes:            map[string]*Route{},
 	}
@@ -66,7 +68,7 @@
 	return summary
 }
 
-// groupByRequest returns the calls of each request by its id, in the order in which they started.
+// groupByRequest returns the calls of each request by its ID, in the order in which they started.
 func groupByRequest(calls []Call) map[string][]Call {
 	requests := map[string][]Call{}
 	for _, call := range calls {
@@ -78,14 +80,14 @@
 	return requests
 }
 
-// summarizer attributes the late responses of one summary.
+// summarizer is the state of one call of Summarize.
 type summarizer struct {
 	prefillMsPerToken float64
 	firstPrefills     map[string]Call // the first call that prefilled each shared prefix
 	routes            map[string]*Route
 }
 
-// addRequest counts a request, given its calls in their order, if it got a response.
+// addRequest counts a request, given its calls in the order of their start, if it got a response.
 func (s *summarizer) addRequest(calls []Call) {
 	last := calls[len(calls)-1]
 	if last.Role == rolePrefill || last.Outcome != outcomeServed {
@@ -112,7 +114,8 @@
 	return c.DurationMs
 }
 
-// mainCause returns the cause that took most of the time of a request, given its calls in their order.
+// mainCause returns the cause that took most of the time of a request, given its calls in the order of their
+// start. A prefill that exceeds the target by itself is the cause, however long the other parts took.
 func (s *summarizer) mainCause(calls []Call) Cause {
 	last := calls[len(calls)-1]
 	msByCause := map[Cause]float64{CauseDecode: last.firstOutputMs()}
@@ -142,8 +145,8 @@
 	return ok && first.AttemptID != call.AttemptID && call.PrefillTokens == call.PromptTokens
 }
 
-// largestCause returns the cause that took most time, of several the first in the order of Causes, but
-// CausePrefill before all.
+// largestCause returns the cause that took most time. Of several with the same time it returns CausePrefill,
+// or else the first in the order of Causes.
 func largestCause(msByCause map[Cause]float64) Cause {
 	largest := CausePrefill
 	for _, cause := range Causes {
@@ -154,7 +157,7 @@
 	return largest
 }
 
-// isServedPrefill reports whether the call prefilled a prompt.
+// isServedPrefill reports whether the call is a prefill that succeeded.
 func (c *Call) isServedPrefill() bool { return c.Role == rolePrefill && c.Outcome == outcomeServed }
 
 // firstPrefills returns the first call that prefilled each shared prefix.
@@ -170,23 +173,25 @@
 }
 
 const (
-	// longPrefillTokens is the length from which on the time of a prefill shows its pace.
+	// longPrefillTokens is the number of tokens from which a prefill is long enough for its duration to show
+	// the time per token.
 	longPrefillTokens = 2000
-	// fastestFraction of the long prefills is taken not to have been queued.
+	// fastestFraction is the fraction of the long prefills that are assumed not to have queued.
 	fastestFraction = 0.05
 )
 
-// fastestPrefillPace returns the milliseconds a token of the fastest long prefills, 0 if there are none.
-func fastestPrefillPace(calls []Call) float64 {
-	var paces []float64
+// fastestPrefillMsPerToken returns the time per token of the fastest long prefills, in milliseconds, or 0 if
+// there are no long prefills.
+func fastestPrefillMsPerToken(calls []Call) float64 {
+	var msPerToken []float64
 	for _, call := range calls {
 		if call.isServedPrefill() && call.PrefillTokens >= longPrefillTokens {
-			paces = append(paces, call.DurationMs/float64(call.PrefillTokens))
+			msPerToken = append(msPerToken, call.DurationMs/float64(call.PrefillTokens))
 		}
 	}
-	if len(paces) == 0 {
+	if len(msPerToken) == 0 {
 		return 0
 	}
-	slices.Sort(paces)
-	return paces[int(fastestFraction*float64(len(paces)))]
+	slices.Sort(msPerToken)
+	return msPerToken[int(fastestFraction*float64(len(msPerToken)))]
 }
