--- a/internal/proxy/config/check_test.go
+++ b/internal/proxy/config/check_test.go
@@ -59,7 +59,7 @@
 		"5: clients.idle: found the number 3, a time needs a unit", `6: clients.write: found "3" without a unit`,
 		"8: limits.memory: found the number 64, a size needs a unit", "9: limits.sockets: -1 is out of range, 0 to",
 		`11: log.level: unexpected`, `12: log.format: found "jason", allowed are text, json; did you mean json?`,
-		"13: log: stands twice, first on line 10", "14: nonsense: is no section",
+		"13: log: is defined twice, first on line 10", "14: nonsense: is no section",
 		`17: policy.hall: "kito" is none of halls`, "18: policy.attempts: found the number 2.5",
 		"21: shutdown.accept_for: is set twice, first on line 20",
 		"24: class[1].aim: 2s is beyond",
@@ -87,7 +87,8 @@
 		{strings.Replace(small, "idempotent", "idempotant", 1), "c.toml:7: class[1].effect: found " +
 			"\"idempotant\", allowed are idempotent, deduplicated, at_most_once; did you mean idempotent?"},
 		{strings.Replace(small, "[[class]]", "[class]", 1), "c.toml:3: class: is a list; each of"},
-		{strings.Replace(small, "[discovery]", "[[discovery]]", 1), "c.toml:1: discovery: stands once"},
+		{strings.Replace(small, "[discovery]", "[[discovery]]", 1),
+			"c.toml:1: discovery: is a section, not a list; it is set once"},
 		{"limits = 4\n" + small, "c.toml:1: limits: is a section"},
 		{"[log]\nrequests = 1\n" + small, "c.toml:2: log.requests: found the number 1"},
 		{"[log]\nrequests = 2026-12-01\n" + small, "c.toml:2: log.requests: found a localdate"},
--- a/internal/scenariofile/scenariofile_test.go
+++ b/internal/scenariofile/scenariofile_test.go
@@ -122,7 +122,7 @@
 		override []string
 	}{
 		{"as messages on files name them", false, []string{
-			"--set section: section: is a section, and found is 2",
+			"--set section: section: is a section, but found 2",
 			"--set table.0.sise: table[1].sise: is no key; did you mean table[1].size?",
 		}},
 		{"as typed", true, []string{
--- a/internal/settingsfile/builder.go
+++ b/internal/settingsfile/builder.go
@@ -11,10 +11,10 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// Builder merges layers and decodes the result.
+// Builder merges layers, of which later ones take precedence, and decodes the result.
 type Builder struct {
 	Origins  map[string]Origin // of each value, by path
-	Problems SettingErrors     // all mistakes so far
+	Problems SettingErrors     // all errors so far
 	schema   *Schema
 	merged   *koanf.Koanf
 	tables   map[string][]Origin // where each table of a list begins, by list
@@ -27,7 +27,8 @@
 	}
 }
 
-// Add lays a layer over those before. A list of tables replaces the one before as a whole.
+// Add merges a layer, which takes precedence over those added before. A list of tables in the layer replaces
+// an earlier one as a whole.
 func (b *Builder) Add(l *Layer) {
 	for list := range b.schema.lists {
 		inList := func(path string) bool { return strings.HasPrefix(path, list+".") }
@@ -44,7 +45,7 @@
 			known[path] = v
 			b.Origins[path] = l.Origins[path]
 		} else if b.schema.HasSection(path) || b.schema.lists[path] > 0 {
-			b.Problems.Add(l.Origins[path], b.schema.Display(path), "is a section, and found is %s", Describe(v))
+			b.Problems.Add(l.Origins[path], b.schema.Display(path), "is a section, but found %s", Describe(v))
 		} else {
 			b.Problems.Add(l.Origins[path], b.schema.Display(path), "is no key%s", b.schema.Suggest(path))
 		}
@@ -54,8 +55,8 @@
 	}
 }
 
-// Decode puts the merged values, and defaults for the others, into the struct that to points to. What can't
-// be decoded goes to Problems.
+// Decode stores the merged values, and defaults for keys that are not set, in the struct that to points to. A
+// value that is missing or can't be decoded is added to Problems.
 func (b *Builder) Decode(to any) {
 	root := reflect.ValueOf(to).Elem()
 	for _, f := range b.schema.Fields {
@@ -94,8 +95,8 @@
 	to.Set(v)
 }
 
-// tableOrigin returns where the table begins that a missing key belongs to: at its header or, without one, at
-// the first of its keys.
+// tableOrigin returns where the table that a missing key belongs to begins: at its header or, if it has none,
+// at the first of its keys.
 func (b *Builder) tableOrigin(path string) Origin {
 	if key, _ := b.schema.Resolve(path); key.Table < len(b.tables[key.List]) {
 		return b.tables[key.List][key.Table]
--- a/internal/settingsfile/errors.go
+++ b/internal/settingsfile/errors.go
@@ -9,11 +9,11 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// Origin is where a value came from.
+// Origin is the source of a value.
 type Origin struct {
 	Source string // "default", "file", "platform", "environment" or "flag"
 	Name   string // path of the file, the variable or the flag
-	Line   int    // in the file, from 1; 0 where it is not known
+	Line   int    // in the file, from 1; 0 if unknown
 }
 
 // NewOrigin returns an origin without a line.
@@ -29,54 +29,54 @@
 	return o.Name
 }
 
-// SettingError is one mistake in the settings.
+// SettingError is one error in the settings.
 type SettingError struct {
 	Origin
-	Key     string // as Schema.Display gives it; "" where the text itself is malformed
-	Message string // what was found, what is allowed and what may help
-	// HidesKeys is set where a part of the file was skipped, so that keys in it may seem to be missing.
+	Key     string // as Schema.Display formats it; "" if no key is known, as in a malformed line
+	Message string // what was found, what is allowed, and a likely fix if there is one
+	// HidesKeys is set if a part of the file was skipped, so that keys in it may wrongly be reported missing.
 	HidesKeys bool
 }
 
-func (p SettingError) String() string {
-	if p.Key == "" {
-		return fmt.Sprintf("%s: %s", p.Origin, p.Message)
+func (e SettingError) String() string {
+	if e.Key == "" {
+		return fmt.Sprintf("%s: %s", e.Origin, e.Message)
 	}
-	return fmt.Sprintf("%s: %s: %s", p.Origin, p.Key, p.Message)
+	return fmt.Sprintf("%s: %s: %s", e.Origin, e.Key, e.Message)
 }
 
-// SettingErrors are all mistakes in the settings, as an error with one line for each.
+// SettingErrors are all errors in the settings, as one error with a line for each.
 type SettingErrors []SettingError
 
-func (ps SettingErrors) Error() string {
-	lines := make([]string, len(ps))
-	for i, p := range ps {
-		lines[i] = p.String()
+func (es SettingErrors) Error() string {
+	lines := make([]string, len(es))
+	for i, e := range es {
+		lines[i] = e.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Add adds a mistake; key is as Schema.Display gives it.
-func (ps *SettingErrors) Add(o Origin, key, format string, args ...any) {
-	*ps = append(*ps, SettingError{o, key, fmt.Sprintf(format, args...), key == ""})
+// Add adds an error; key is as Schema.Display formats it.
+func (es *SettingErrors) Add(o Origin, key, format string, args ...any) {
+	*es = append(*es, SettingError{o, key, fmt.Sprintf(format, args...), key == ""})
 }
 
-func (ps SettingErrors) sort() {
-	slices.SortStableFunc(ps, func(a, b SettingError) int {
+func (es SettingErrors) sort() {
+	slices.SortStableFunc(es, func(a, b SettingError) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.Line, b.Line))
 	})
 }
 
-// Err returns the mistakes, sorted by file and line, as an error; nil where there are none.
-func (ps SettingErrors) Err() error {
-	if len(ps) == 0 {
+// Err returns the errors, sorted by name of their source and line, as one error, or nil if there are none.
+func (es SettingErrors) Err() error {
+	if len(es) == 0 {
 		return nil
 	}
-	ps.sort()
-	return ps
+	es.sort()
+	return es
 }
 
-// Closest returns the word that was probably meant, "" where none is near.
+// Closest returns the one of words that was probably meant by word, by edit distance; "" if none is close.
 func Closest(word string, words []string) string {
 	best, distance := "", max(2, len(word)/4)+1
 	for _, w := range words {
--- a/internal/settingsfile/schema.go
+++ b/internal/settingsfile/schema.go
@@ -1,19 +1,19 @@
-// Package settingsfile reads settings into structs whose tags carry each key's default, bounds and allowed
-// words. The proxy's configuration and the laboratory's scenarios are such structs.
+// Package settingsfile reads settings into structs whose field tags declare each key's default, bounds and
+// allowed values. The proxy's configuration and the simulation's scenarios are such structs.
 //
-// A Schema is made of a struct type. Each source of settings becomes a Layer: a TOML file by ReadTOML,
+// A Schema is built from a struct type. Each source of settings becomes a Layer: a TOML file by ReadTOML,
 // environment variables and flags by the caller. A Builder merges layers in order of precedence and decodes
-// the result into the struct. Mistakes don't end the reading: all of them are collected as SettingErrors,
-// each with its file and line, and the likely fix.
+// the result into the struct. An error doesn't stop reading: all errors are collected as SettingErrors, each
+// with its file and line if it has one, and often a likely fix.
 //
 // A field of the struct with the tag key is one setting:
 //
 //	Timeout time.Duration `key:"timeout" default:"2s" min:"10ms" max:"1m" reload:"live"`
 //
-// A key without default must be set. A field that is a struct is a section, one that is a slice of structs a
-// list of tables.
+// A key without the tag default must be set. A field that is a struct is a section; a field that is a slice
+// of structs is a list of tables.
 //
-// A Schema may be used from any goroutine; the other types belong to one.
+// A Schema is safe for concurrent use; the other types are not.
 package settingsfile
 
 import (
@@ -26,18 +26,18 @@
 	"time"
 )
 
-// The values of the tag reload: how a changed key reaches a running program.
+// The values of the tag reload: when a changed key takes effect in a running program.
 const (
-	Live    = "live"    // at once
-	Restart = "restart" // by a restart
-	AtStart = "start"   // not at all: it is read at the start, and a change is passed over
+	Live    = "live"    // immediately
+	Restart = "restart" // after a restart
+	AtStart = "start"   // never: it is read at the start only, and later changes are ignored
 )
 
-// The values of the tag form: what a text must look like.
+// The values of the tag form: the syntax that a string must have.
 const (
-	formAddress         = "address" // host:port that is connected to
+	formAddress         = "address" // host:port to connect to
 	formOptionalAddress = "address?"
-	formListen          = "listen" // host:port that is listened at; port 0 is allowed
+	formListen          = "listen" // host:port to listen on; port 0 is allowed
 	formOptionalListen  = "listen?"
 	formHex             = "hex"  // up to 16 hex digits, or empty
 	formName            = "name" // not empty
@@ -47,13 +47,13 @@
 type Field struct {
 	Path     string // as "section.key", in a list of tables as "list[].key"
 	Type     reflect.Type
-	Default  string // as the file would have it; "" also where the key must be set
+	Default  string // as written in the file; also "" if the key must be set
 	Required bool   // has no default
-	Min, Max string // bounds, as the file would have them; "" for none
+	Min, Max string // bounds, as written in the file; "" for none
 	Enum     []string
 	Form     string
 	Reload   string // Live, Restart or AtStart; Restart without a tag
-	Index    []int  // of the struct's field, as for reflect.Value.FieldByIndex; in a list, of its table's field
+	Index    []int  // for reflect.Value.FieldByIndex of the struct; for a key in a list, of the list's element
 }
 
 // Size is a number of bytes.
@@ -64,11 +64,11 @@
 	sizeType     = reflect.TypeFor[Size]()
 )
 
-// Schema is the keys of a struct type and its lists of tables.
+// Schema describes the keys and the lists of tables of a struct type.
 type Schema struct {
 	Fields    []*Field // in the struct's order
-	EnvPrefix string   // of the environment variables that set keys; "" where none do
-	Help      string   // where all keys are listed, for messages
+	EnvPrefix string   // of the environment variables that set keys; "" if none do
+	Help      string   // part of error messages: where all keys are listed
 
 	byPath map[string]*Field
 	lists  map[string]int // index of a list's field in the struct, by key
@@ -84,7 +84,7 @@
 	return s
 }
 
-// addFields adds the fields of a struct, whose keys begin with prefix.
+// addFields adds the fields of a struct, whose keys get the given prefix.
 func (s *Schema) addFields(t reflect.Type, prefix string, index []int) {
 	for i := range t.NumField() {
 		sf := t.Field(i)
@@ -116,7 +116,7 @@
 	return f
 }
 
-// Kind says what a value looks like, for people.
+// Kind returns a description of the key's type for messages and documentation.
 func (f *Field) Kind() string {
 	switch {
 	case len(f.Enum) > 0:
@@ -151,7 +151,7 @@
 	return false
 }
 
-// Allowed says which values of the kind are allowed, for people; "" where all are.
+// Allowed returns the range of allowed values for messages and documentation; "" if it has no lower bound.
 func (f *Field) Allowed() string {
 	switch {
 	case f.Min != "" && f.Max != "":
@@ -162,7 +162,8 @@
 	return ""
 }
 
-// EnvVar returns the environment variable that sets a key; "" for keys in lists of tables.
+// EnvVar returns the environment variable that sets a key; "" for keys in lists of tables, and if the schema
+// has no EnvPrefix.
 func (s *Schema) EnvVar(f *Field) string {
 	if s.EnvPrefix == "" || strings.Contains(f.Path, "[]") {
 		return ""
@@ -170,14 +171,14 @@
 	return s.EnvPrefix + strings.ToUpper(strings.ReplaceAll(f.Path, ".", "_"))
 }
 
-// Lists returns the keys of the lists of tables with the indexes of their fields in the struct.
+// Lists returns the index of each list of tables' field in the struct, by the list's key.
 func (s *Schema) Lists() map[string]int { return s.lists }
 
-// Key is what the path of one value refers to.
+// Key identifies the field, and the table of a list, that the path of one value refers to.
 type Key struct {
 	Field string // path of the Field: "class[].aim" for "class.2.aim"
-	List  string // list of tables that it stands in: "class"; "" for none
-	Table int    // which of the list's tables, from 0
+	List  string // list of tables that contains it: "class"; "" for none
+	Table int    // index of the table in the list, from 0
 }
 
 // Resolve returns what the path of one value refers to, and whether there is such a key.
@@ -194,7 +195,7 @@
 	return Key{Field: field, List: list, Table: table}, ok && err == nil
 }
 
-// Display returns a path as people write it: "class.0.aim" is "class[1].aim".
+// Display returns a path as messages show it, with tables numbered from 1: "class.0.aim" is "class[1].aim".
 func (s *Schema) Display(path string) string {
 	parts := strings.Split(path, ".")
 	if _, ok := s.lists[parts[0]]; ok && len(parts) > 1 && isNumber(parts[1]) {
@@ -207,8 +208,8 @@
 
 func isNumber(s string) bool { return s != "" && strings.Trim(s, "0123456789") == "" }
 
-// Suggest returns the end of a message on an unknown key: the key that was probably meant, or where all are
-// listed.
+// Suggest returns the end of the message for an unknown key: the key that was probably meant, or Help if none
+// is close.
 func (s *Schema) Suggest(path string) string {
 	key, _ := s.Resolve(path)
 	var all []string
@@ -231,7 +232,7 @@
 	return "; did you mean " + strings.ReplaceAll(match, "[].", ".") + "?"
 }
 
-// inOtherSection returns the first key that has the same name in another section, "" where there is none.
+// inOtherSection returns the first key that has the same name in another section, or "" if there is none.
 func (s *Schema) inOtherSection(field string) string {
 	_, name, nested := strings.Cut(field, ".")
 	if !nested {
@@ -255,7 +256,7 @@
 	return false
 }
 
-// suggestSection is Suggest for the name of a section.
+// suggestSection is like Suggest, for the name of an unknown section.
 func (s *Schema) suggestSection(name string) string {
 	var all []string
 	for _, f := range s.Fields {
--- a/internal/settingsfile/toml.go
+++ b/internal/settingsfile/toml.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Layer is what one source sets: values by path, with where each stands. The values of a file are string,
-// int64, float64, bool and []any; other sources may also give Text, or values of the fields' types.
+// Layer is the settings of one source: values by path, with the origin of each. The values of a file are
+// string, int64, float64, bool and []any; other sources may also give Text, or values of the fields' types.
 type Layer struct {
 	Values  map[string]any
 	Origins map[string]Origin
@@ -28,35 +28,36 @@
 func (l *Layer) Set(path string, v any, o Origin) { l.Values[path], l.Origins[path] = v, o }
 
 const (
-	maxFile        = 1 << 20 // bytes of a configuration file
-	maxBrokenLines = 50      // lines that cannot be parsed, after which the rest is not looked at
+	maxFileBytes      = 1 << 20 // size limit of a settings file
+	maxMalformedLines = 50      // number of lines that can't be parsed after which reading stops
 )
 
-// tomlReader flattens one file. It reads the library's syntax tree rather than its decoded values: only the
-// tree has lines, and only reading can go on after a mistake, so that all are found.
+// tomlReader reads one file into a Layer. It uses the TOML library's syntax tree rather than its decoder,
+// because only the tree has positions for line numbers, and parsing can resume after a syntax error, so that
+// all errors are found.
 type tomlReader struct {
-	schema      *Schema
-	file        string
-	raw         []byte
-	lineEnds    []int // offsets of the line feeds in raw
-	parser      unstable.Parser
-	parseOffset int // where the parser's input begins in raw
-	brokenLines int // lines that can't be parsed, so far
+	schema         *Schema
+	file           string
+	raw            []byte
+	lineEnds       []int // offsets of the newlines in raw
+	parser         unstable.Parser
+	parseOffset    int // offset in raw where the parser's input begins
+	malformedLines int // number of lines so far that can't be parsed
 
-	prefix       string         // of the keys of the present table, with a dot at its end
-	skipTable    bool           // the present table is a mistake: its keys would be further ones
-	sectionLines map[string]int // lines of the headers so far, by section
+	prefix       string         // of the keys of the current table, ending with a dot
+	skipTable    bool           // the current table's header is invalid; its keys are ignored
+	sectionLines map[string]int // line of each section's header so far, by section
 
 	layer    *Layer
 	problems SettingErrors
 }
 
-// ReadTOML reads a file whose contents are raw. The layer has what could be read, the errors have all
-// mistakes.
+// ReadTOML parses raw, the content of a file. The layer has the values that could be parsed; the errors are
+// all that the file has.
 func (s *Schema) ReadTOML(file string, raw []byte) (*Layer, SettingErrors) {
 	r := &tomlReader{schema: s, file: file, raw: raw, layer: NewLayer(), sectionLines: map[string]int{}}
-	if len(raw) > maxFile {
-		r.problems.Add(Origin{"file", file, 0}, "", "holds %d bytes, %d are allowed", len(raw), maxFile)
+	if len(raw) > maxFileBytes {
+		r.problems.Add(Origin{"file", file, 0}, "", "holds %d bytes, %d are allowed", len(raw), maxFileBytes)
 		return r.layer, r.problems
 	}
 	for i, b := range raw {
@@ -70,8 +71,8 @@
 	return r.layer, r.problems
 }
 
-// parseFrom reads from an offset to the end of the file or the first malformed line, and returns the offset
-// where to go on.
+// parseFrom parses from an offset to the end of the file or the first malformed line, and returns the offset
+// at which to resume.
 func (r *tomlReader) parseFrom(from int) int {
 	r.parseOffset = from
 	r.parser.Reset(r.raw[from:])
@@ -86,22 +87,23 @@
 		}
 	}
 	if err := r.parser.Error(); err != nil {
-		return r.skipBroken(from, err)
+		return r.skipMalformedLine(from, err)
 	}
 	return len(r.raw)
 }
 
-// skipBroken reports the line that the parser could not read and returns the offset where to go on.
-func (r *tomlReader) skipBroken(from int, err error) int {
+// skipMalformedLine reports the line that could not be parsed and returns the offset at which to resume.
+func (r *tomlReader) skipMalformedLine(from int, err error) int {
 	offset := len(r.raw) - 1
 	var parseErr *unstable.ParserError
 	if errors.As(err, &parseErr) {
-		// Highlight is a slice of raw, so its capacity tells where it begins.
+		// Highlight is a subslice of raw, so the difference of their capacities is its offset.
 		offset = min(max(cap(r.raw)-cap(parseErr.Highlight), from), len(r.raw)-1)
 	}
 	origin := Origin{"file", r.file, r.lineOf(offset)}
-	if r.brokenLines++; r.brokenLines >= maxBrokenLines {
-		r.problems.Add(origin, "", "%v; the rest was not looked at after %d such lines", err, maxBrokenLines)
+	if r.malformedLines++; r.malformedLines >= maxMalformedLines {
+		r.problems.Add(origin, "", "%v; the rest of the file was not checked after %d such lines", err,
+			maxMalformedLines)
 		return len(r.raw)
 	}
 	text := r.lineText(offset)
@@ -112,16 +114,16 @@
 		key = ""
 	}
 	r.problems.Add(origin, r.schema.Display(key), "%s", withHint(err.Error(), text))
-	return r.nextStart(offset)
+	return r.nextParsableLine(offset)
 }
 
-// lineOf returns the number, from 1, of the line that an offset is in.
+// lineOf returns the number, from 1, of the line that contains an offset.
 func (r *tomlReader) lineOf(offset int) int {
 	n, _ := slices.BinarySearch(r.lineEnds, offset)
 	return n + 1
 }
 
-// lineText returns the line that an offset is in.
+// lineText returns the line that contains an offset.
 func (r *tomlReader) lineText(offset int) string {
 	start := bytes.LastIndexByte(r.raw[:offset], '\n') + 1
 	end := bytes.IndexByte(r.raw[offset:], '\n')
@@ -131,10 +133,10 @@
 	return string(r.raw[start : offset+end])
 }
 
-// bareKeyChars are what a key without quotes consists of, and the dots between its parts.
+// bareKeyChars are the characters of a key without quotes, and the dot between its parts.
 const bareKeyChars = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_-.0123456789"
 
-// withHint appends the likely fix to a message of the parser.
+// withHint appends the likely fix, if one is known, to an error message of the parser.
 func withHint(message, line string) string {
 	_, value, set := strings.Cut(line, "=")
 	value = strings.TrimSpace(value)
@@ -142,14 +144,14 @@
 	case !set && !strings.HasPrefix(strings.TrimSpace(line), "["):
 		return message + "; a key is set by KEY = VALUE"
 	case set && value != "" && !strings.ContainsAny(value[:1], `"'[{`):
-		return fmt.Sprintf("%s; text stands in quotes: %q", message, value)
+		return fmt.Sprintf("%s; text must be in quotes: %q", message, value)
 	}
 	return message
 }
 
-// nextStart returns the offset of the next line after a malformed one that looks like a table's header or a
-// key.
-func (r *tomlReader) nextStart(offset int) int {
+// nextParsableLine returns the offset of the next line, after the malformed one at offset, that looks like a
+// table header or a key. Without one it returns the end of the file.
+func (r *tomlReader) nextParsableLine(offset int) int {
 	for {
 		end := bytes.IndexByte(r.raw[offset:], '\n')
 		if end < 0 {
@@ -176,7 +178,7 @@
 	return Origin{"file", r.file, r.lineOf(offset)}
 }
 
-// joinKey joins the parts of a key and tells where it stands.
+// joinKey joins the parts of a key by dots, and returns the origin of the first part.
 func (r *tomlReader) joinKey(n *unstable.Node) (string, Origin) {
 	var parts []string
 	var o Origin
@@ -189,18 +191,18 @@
 	return strings.Join(parts, "."), o
 }
 
-// openTable begins the table of a header, [name] or, where listed, [[name]].
-func (r *tomlReader) openTable(n *unstable.Node, listed bool) {
+// openTable begins the table of a header: [[name]] if isArrayTable, [name] otherwise.
+func (r *tomlReader) openTable(n *unstable.Node, isArrayTable bool) {
 	name, o := r.joinKey(n)
 	_, isList := r.schema.lists[name]
 	r.prefix, r.skipTable = name+".", true
 	switch before := r.sectionLines[name]; {
-	case listed && isList:
+	case isArrayTable && isList:
 		r.prefix = r.appendTable(name, o) + "."
-	case listed && r.schema.HasSection(name):
-		r.problems.Add(o, r.schema.Display(name), "stands once, as [%s], and is no list", name)
+	case isArrayTable && r.schema.HasSection(name):
+		r.problems.Add(o, r.schema.Display(name), "is a section, not a list; it is set once, as [%s]", name)
 		return
-	case !listed && isList:
+	case !isArrayTable && isList:
 		r.problems.Add(o, r.schema.Display(name), "is a list; each of its tables begins with [[%s]]", name)
 		return
 	case !r.schema.HasSection(name):
@@ -208,14 +210,14 @@
 		r.problems[len(r.problems)-1].HidesKeys = true
 		return
 	case before > 0:
-		r.problems.Add(o, r.schema.Display(name), "stands twice, first on line %d", before)
+		r.problems.Add(o, r.schema.Display(name), "is defined twice, first on line %d", before)
 		return
 	}
 	r.sectionLines[name] = o.Line
 	r.skipTable = false
 }
 
-// appendTable begins the next table of a list and returns its path.
+// appendTable adds the next table of a list and returns its path.
 func (r *tomlReader) appendTable(list string, o Origin) string {
 	n := len(r.layer.Tables[list])
 	r.layer.Tables[list] = append(r.layer.Tables[list], o)
@@ -261,7 +263,7 @@
 	}
 }
 
-// scalar converts a value that is no table; a list's elements are scalars, too.
+// scalar converts a value that is not a table, or a list of such values.
 func (r *tomlReader) scalar(n *unstable.Node) (any, error) {
 	text := string(n.Data)
 	switch n.Kind {
@@ -272,13 +274,13 @@
 	case unstable.Integer:
 		v, err := strconv.ParseInt(strings.ReplaceAll(text, "_", ""), 0, 64)
 		if err != nil {
-			return nil, fmt.Errorf("%s is no whole number that fits", text)
+			return nil, fmt.Errorf("%s is no whole number in the range of 64 bits", text)
 		}
 		return v, nil
 	case unstable.Float:
 		v, err := strconv.ParseFloat(strings.ReplaceAll(text, "_", ""), 64)
 		if err != nil {
-			return nil, fmt.Errorf("%s is no number that fits", text)
+			return nil, fmt.Errorf("%s is no number in the range of 64 bits", text)
 		}
 		return v, nil
 	case unstable.Array:
@@ -292,5 +294,5 @@
 		}
 		return list, nil
 	}
-	return nil, fmt.Errorf("found a %s, which no key takes", strings.ToLower(n.Kind.String()))
+	return nil, fmt.Errorf("found a %s, a type that no key has", strings.ToLower(n.Kind.String()))
 }
--- a/internal/settingsfile/value.go
+++ b/internal/settingsfile/value.go
@@ -13,12 +13,12 @@
 	"github.com/dustin/go-humanize"
 )
 
-// Text is a value that came as text, from a variable or a flag, where numbers and booleans aren't marked as
-// in a file; lists are separated by commas.
+// Text is a value from an environment variable or a flag, whose syntax, unlike a file's, does not distinguish
+// numbers and booleans from strings; the elements of a list are separated by commas.
 type Text string
 
-// Decode converts a value as a layer has it into the field's type and checks it against the tags. The error
-// says what was found and what is allowed.
+// Decode converts a layer's value to the field's type and checks it against the tags. The error says what was
+// found and what is allowed.
 func (f *Field) Decode(raw any) (reflect.Value, error) {
 	v, err := f.convert(raw)
 	if err != nil {
@@ -72,7 +72,8 @@
 	return Size(n), err
 }
 
-// parseText converts a Text to what the file would have given for this field.
+// parseText converts a Text to the value that a file would give for this field. Text that does not parse as
+// the field's type is returned unchanged.
 func (f *Field) parseText(text string) any {
 	switch {
 	case f.Type == durationType || f.Type == sizeType:
@@ -100,7 +101,7 @@
 	return text
 }
 
-// parseWithUnit reads a value that must carry a unit.
+// parseWithUnit parses a value that must have a unit.
 func parseWithUnit[T any](raw any, what, examples string,
 	parse func(string) (T, error)) (reflect.Value, error) {
 	s, ok := raw.(string)
@@ -117,7 +118,7 @@
 	return reflect.ValueOf(v), nil
 }
 
-// Describe returns how a message names a value of a layer.
+// Describe returns a description of a layer's value for messages.
 func Describe(raw any) string {
 	switch v := raw.(type) {
 	case string:
@@ -141,7 +142,7 @@
 	switch x := v.Interface().(type) {
 	case float64:
 		if math.IsNaN(x) || math.IsInf(x, 0) {
-			return fmt.Errorf("%v is no usable number", x)
+			return fmt.Errorf("%v is not a finite number", x)
 		}
 	case string:
 		return f.checkText(x)
@@ -189,8 +190,8 @@
 	return nil
 }
 
-// parseBound reads a bound of the tags, which are written as in the file; a malformed one is a programming
-// error.
+// parseBound parses a bound from a tag, written as in the file. It panics if the bound is malformed, which is
+// a programming error.
 func (f *Field) parseBound(text string) reflect.Value {
 	v, err := f.convert(Text(text))
 	if err != nil {
@@ -206,7 +207,7 @@
 	return a.Int() < b.Int()
 }
 
-// Format writes a value as the file would hold it.
+// Format formats a value as in the file, but without quotes and with commas between a list's elements.
 func (f *Field) Format(v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case time.Duration:
@@ -220,7 +221,7 @@
 	}
 }
 
-// FormatDuration writes a duration without the parts that are zero: 1m0s is 1m.
+// FormatDuration formats a duration without trailing parts that are zero: 1m0s is 1m.
 func FormatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
@@ -232,7 +233,7 @@
 	return s
 }
 
-// String writes a size with the largest unit that divides it, as the file would have it.
+// String formats a size as in the file, with the largest unit that divides it.
 func (s Size) String() string {
 	for _, u := range []struct {
 		bytes Size
