--- a/internal/childprocess/childprocess.go
+++ b/internal/childprocess/childprocess.go
@@ -1,8 +1,8 @@
-// Package childprocess runs this program as a child process, as an operator would start it, and follows its
-// log, which it writes to its standard error. The methods of Process may be called from any goroutine.
+// Package childprocess runs a program of this project as a child process, as an operator would start it, and
+// reads the log that the child writes to its standard error. The methods of Process may be called from any
+// goroutine.
 //
-// The log is read line by line. Of a line longer than maxLine the rest is left out, and a mark in its place
-// says so.
+// The log is read line by line. A line longer than maxLineBytes is truncated, and truncationMark is appended.
 package childprocess
 
 import (
@@ -21,34 +21,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is the program as a child.
+// Process is a running or ended child process.
 type Process struct {
 	cmd    *exec.Cmd
 	ended  chan struct{}  // closed once the child has ended and its log has been read
-	err    error          // of its end, set before ended is closed
-	input  io.WriteCloser // its standard input, nil where it has none
-	stderr io.ReadCloser  // where its log is read
+	err    error          // from waiting for the child, set before ended is closed
+	input  io.WriteCloser // the child's standard input, nil without Command.Input
+	stderr io.ReadCloser  // reading end of the pipe with the child's log
 
-	logMu sync.Mutex // held by PauseLog until ResumeLog
+	logMu sync.Mutex // locked from PauseLog to ResumeLog, to stop reading the log
 
 	mu     sync.Mutex
-	tail   []string          // last lines of its log
-	fields map[string]string // of the lines that say where it listens
+	tail   []string          // last lines of the log, at most tailLines
+	fields map[string]string // fields of the log lines that report addresses or readiness, by key
 }
 
-// tailLines is how many lines of the child's log are kept to explain a failure.
+// tailLines is the number of last lines of the child's log that are kept for error messages.
 const tailLines = 20
 
 // Command is a program to be run as a child process.
 type Command struct {
 	Path  string
 	Args  []string
-	Env   []string  // KEY=VALUE beside what is inherited
-	Ready string    // text of the log line that says that it is ready
-	Log   io.Writer // gets the lines of its log too, if set
-	// Input lets lines be sent to its standard input.
+	Env   []string  // KEY=VALUE, in addition to the inherited variables
+	Ready string    // text in the log line that reports that the child is ready
+	Log   io.Writer // gets a copy of each line of the log, if not nil
+	// Input makes the child's standard input a pipe, so that Process.Send can write lines to it.
 	Input bool
-	// LogBuffer is how much of its log the system holds while nobody reads it, in bytes; 0 for the usual.
+	// LogBuffer is the capacity of the pipe that carries the log, in bytes; 0 for the system's default.
 	LogBuffer int
 }
 
@@ -86,13 +86,13 @@
 	}
 }
 
-// newProcess returns a process that has not been started, with pipes to its standard error and, if the
+// newProcess returns a process that is not yet started, with pipes to its standard error and, if the
 // command has Input, its standard input.
 func newProcess(command Command) (*Process, error) {
 	cmd := exec.Command(command.Path, command.Args...)
 	cmd.Env = append(inheritedEnvironment(), command.Env...)
-	// A group of its own, so that an interrupt at the terminal reaches it through us alone; and it ends
-	// with this process, whatever ends that.
+	// The child gets its own process group, so that the terminal does not send it an interrupt directly and
+	// only this process signals it. Pdeathsig kills it when this process ends for whatever reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -124,8 +124,8 @@
 	return inherited
 }
 
-// follow reads the log to its end, closes ready at the line that says so, and then waits for the process, in
-// this order: Wait closes the pipe of the log.
+// follow reads the log to its end, closes ready at the line that reports readiness, and then waits for the
+// process. It waits only after reading, because Wait closes the pipe of the log.
 func (p *Process) follow(command Command, ready chan<- struct{}) {
 	p.readLog(command, ready)
 	p.err = p.cmd.Wait()
@@ -133,13 +133,13 @@
 }
 
 const (
-	// maxLine is how much of a line of the log is kept, in bytes.
-	maxLine = 64 << 10
-	// truncationMark ends a line that was longer.
+	// maxLineBytes is the number of bytes of a log line that are kept.
+	maxLineBytes = 64 << 10
+	// truncationMark is appended to a truncated line.
 	truncationMark = " ... (truncated)"
 )
 
-// readLine reads the next line without its end. The error is that of the reader, once nothing is left.
+// readLine reads the next line without its newline. It returns the reader's error once no line is left.
 func readLine(lines *bufio.Reader) (string, error) {
 	raw, err := lines.ReadSlice('\n')
 	line := strings.TrimSuffix(string(raw), "\n")
@@ -150,14 +150,14 @@
 		}
 	}
 	if err != nil && line != "" {
-		err = nil // the last line has no end; the next call returns the error
+		err = nil // the last line has no newline; the next call returns the error
 	}
 	return line, err
 }
 
 // readLog reads the log to its end or until CloseLog, line by line.
 func (p *Process) readLog(command Command, ready chan<- struct{}) {
-	lines := bufio.NewReaderSize(p.stderr, maxLine)
+	lines := bufio.NewReaderSize(p.stderr, maxLineBytes)
 	for {
 		line, err := readLine(lines)
 		if err != nil {
@@ -165,18 +165,19 @@
 		}
 		p.waitWhilePaused()
 		if command.Log != nil {
-			_, _ = fmt.Fprintln(command.Log, line) // the copy is a convenience; Tail has the line as well
+			_, _ = fmt.Fprintln(command.Log, line) // a failed copy is ignored; Tail has the line as well
 		}
 		isReady := strings.Contains(line, command.Ready)
 		p.record(line, isReady)
 		if isReady && ready != nil {
 			close(ready)
-			ready = nil // further lines may have the text as well
+			ready = nil // later lines may contain the text as well
 		}
 	}
 }
 
-// record keeps a line for Tail, and the fields of one that says where the process listens.
+// record keeps a line for Tail, and for Field the fields of a line that reports readiness or an address that
+// the process listens on.
 func (p *Process) record(line string, isReady bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,68 +193,69 @@
 	}
 }
 
-// Field returns a value that it said when it began to listen: listen, operator, gossip; "" where it did not.
+// Field returns a field of the log lines that reported the child's readiness and addresses, such as listen,
+// operator or gossip; "" if it was not logged.
 func (p *Process) Field(key string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fields[key]
 }
 
-// Tail returns the last lines of its log.
+// Tail returns the last lines of the child's log.
 func (p *Process) Tail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.tail, "\n")
 }
 
-// Signal sends it a signal.
+// Signal sends the child a signal.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Send sends a line to its standard input.
+// Send writes a line to the child's standard input. It needs Command.Input.
 func (p *Process) Send(line string) error {
 	_, err := io.WriteString(p.input, line+"\n")
 	return err
 }
 
-// waitWhilePaused waits while reading the log is paused.
+// waitWhilePaused blocks while reading of the log is paused.
 func (p *Process) waitWhilePaused() {
 	p.logMu.Lock()
 	defer p.logMu.Unlock()
 }
 
-// PauseLog stops reading its log until ResumeLog, like a log collector that has stalled.
+// PauseLog stops reading the child's log until ResumeLog, to simulate a stalled log collector.
 func (p *Process) PauseLog() { p.logMu.Lock() }
 
-// ResumeLog reads its log again after PauseLog.
+// ResumeLog resumes reading the child's log after PauseLog.
 func (p *Process) ResumeLog() { p.logMu.Unlock() }
 
-// CloseLog closes the reading end of its log, like a log collector that has died.
+// CloseLog closes the reading end of the child's log, to simulate a log collector that has crashed.
 func (p *Process) CloseLog() error { return p.stderr.Close() }
 
-// ID returns its process ID.
+// ID returns the child's process ID.
 func (p *Process) ID() int { return p.cmd.Process.Pid }
 
-// Ended returns a channel that is closed once it has ended.
+// Ended returns a channel that is closed once the child has ended and its log has been read.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Kill ends it with SIGKILL and waits.
+// Kill sends SIGKILL and waits until the child has ended.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill() // an error means that it has ended already
 	<-p.ended
 }
 
-// Stop sends SIGTERM, and SIGKILL if the process has not ended within wait. An end by a signal or with a
-// status other than 0 is an error.
-func (p *Process) Stop(wait time.Duration) error {
+// Stop sends SIGTERM, and SIGKILL if the child has not ended within timeout. It returns an error if the child
+// was ended by a signal or with a status other than 0.
+func (p *Process) Stop(timeout time.Duration) error {
 	_ = p.Signal(syscall.SIGTERM) // an error means that it has ended already
 	select {
 	case <-p.ended:
 		if p.err != nil {
-			return fmt.Errorf("the proxy ended badly: %w\n%s", p.err, p.Tail())
+			return fmt.Errorf("the proxy exited with an error: %w\n%s", p.err, p.Tail())
 		}
 		return nil
-	case <-time.After(wait):
+	case <-time.After(timeout):
 		p.Kill()
-		return errors.New("the proxy did not end when asked to and was killed")
+		return errors.New("the proxy did not end after SIGTERM and was killed")
 	}
 }
--- a/internal/childprocess/childprocess_test.go
+++ b/internal/childprocess/childprocess_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// childRole is the environment variable that has this test's program act as one of the children.
+// childRole is the environment variable that makes the test binary run as one of the children.
 const childRole = "CHILDPROCESS_TEST_ROLE"
 
-// children are what the child does in each role. Its log is its standard error.
+// children are the functions that the child runs in each role. Its log is its standard error.
 var children = map[string]func(){
 	"echo":        echoChild,
 	"environment": environmentChild,
@@ -29,8 +29,8 @@
 
 const readyLine = "level=INFO msg=ready listen=127.0.0.1:8080"
 
-// bound ends a test that would wait forever.
-const bound = time.Minute
+// waitLimit is the timeout of each wait, so that a test that hangs fails.
+const waitLimit = time.Minute
 
 func TestMain(m *testing.M) {
 	if child, ok := children[os.Getenv(childRole)]; ok {
@@ -57,7 +57,7 @@
 	logLine("stopping")
 }
 
-// awaitInput waits for a line on the standard input, so that a child does not end before Run has returned.
+// awaitInput waits for a line on the standard input. It keeps a child from ending before Run has returned.
 func awaitInput() { _, _ = bufio.NewReader(os.Stdin).ReadString('\n') }
 
 // environmentChild logs some variables of its environment.
@@ -75,14 +75,14 @@
 	os.Exit(3)
 }
 
-// longLineChild logs the longest line that is kept, then two that are longer, more than a pipe holds, and a
-// line without an end.
+// longLineChild logs the longest line that is not truncated, two longer ones, more lines than a pipe holds,
+// and a line without a newline.
 func longLineChild() {
 	logLine(readyLine)
 	awaitInput()
-	logLine("%s", strings.Repeat("a", maxLine-1))
-	logLine("%s", strings.Repeat("b", maxLine))
-	logLine("%s", strings.Repeat("c", 5*maxLine))
+	logLine("%s", strings.Repeat("a", maxLineBytes-1))
+	logLine("%s", strings.Repeat("b", maxLineBytes))
+	logLine("%s", strings.Repeat("c", 5*maxLineBytes))
 	for range linesAfterLongOnes {
 		logLine("something after the long line")
 	}
@@ -91,7 +91,7 @@
 
 const linesAfterLongOnes = 1 << 16
 
-// neverReadyChild takes SIGTERM and goes on.
+// neverReadyChild ignores SIGTERM and never logs that it is ready.
 func neverReadyChild() {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM)
@@ -101,7 +101,7 @@
 	}
 }
 
-// lineLog keeps the lines of a log and calls seen with each.
+// lineLog keeps the lines of a log and calls seen, if set, with each.
 type lineLog struct {
 	mu    sync.Mutex
 	lines []string
@@ -119,7 +119,7 @@
 	return len(text), nil
 }
 
-// childCommand is this test's program in a role.
+// childCommand returns the command that runs the test binary as the child of a role.
 func childCommand(t *testing.T, role string, log *lineLog) Command {
 	t.Helper()
 	path, err := os.Executable()
@@ -139,10 +139,10 @@
 	}
 }
 
-// boundedContext ends with the test, or after bound.
-func boundedContext(t *testing.T) context.Context {
+// limitedContext returns a context that ends with the test, or after waitLimit.
+func limitedContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -152,8 +152,8 @@
 	t.Helper()
 	select {
 	case <-done:
-	case <-time.After(bound):
-		t.Fatalf("%s did not happen within %v", what, bound)
+	case <-time.After(waitLimit):
+		t.Fatalf("%s did not happen within %v", what, waitLimit)
 	}
 }
 
@@ -166,7 +166,7 @@
 	}}
 	command := childCommand(t, "echo", log)
 	command.LogBuffer = 4096
-	process, err := Run(boundedContext(t), command)
+	process, err := Run(limitedContext(t), command)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 	}
 	sendLine(t, process, "hello")
 	await(t, "the log of what was sent", received)
-	if err := process.Stop(bound); err != nil {
+	if err := process.Stop(waitLimit); err != nil {
 		t.Error(err)
 	}
 	await(t, "the end", process.Ended())
@@ -195,7 +195,7 @@
 	log := &lineLog{}
 	command := childCommand(t, "environment", log)
 	command.Env = append(command.Env, "GIVEN=d")
-	process, err := Run(boundedContext(t), command)
+	process, err := Run(limitedContext(t), command)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,7 +208,7 @@
 }
 
 func TestEndBeforeReadyIsAnErrorWithTheLog(t *testing.T) {
-	_, err := Run(boundedContext(t), childCommand(t, "failing", &lineLog{}))
+	_, err := Run(limitedContext(t), childCommand(t, "failing", &lineLog{}))
 	const want = "the proxy ended at its start: exit status 3\nthe cause"
 	if err == nil || err.Error() != want {
 		t.Errorf("error %v, not %q", err, want)
@@ -216,7 +216,7 @@
 }
 
 func TestChildThatIsNotReadyInTimeIsKilled(t *testing.T) {
-	ctx, cancel := context.WithCancel(boundedContext(t))
+	ctx, cancel := context.WithCancel(limitedContext(t))
 	defer cancel()
 	log := &lineLog{seen: func(string) { cancel() }}
 	process, err := Run(ctx, childCommand(t, "never ready", log))
@@ -226,20 +226,21 @@
 	}
 }
 
-// Lines that are too long are truncated, and those after them are read: trials look for faults there.
-func TestLogGoesOnAfterALineThatIsTooLong(t *testing.T) {
+// Lines that are too long are truncated and the lines after them are still read, because trials search the
+// whole log for faults.
+func TestLogIsReadOnAfterALineThatIsTooLong(t *testing.T) {
 	log := &lineLog{}
-	process, err := Run(boundedContext(t), childCommand(t, "long line", log))
+	process, err := Run(limitedContext(t), childCommand(t, "long line", log))
 	if err != nil {
 		t.Fatal(err)
 	}
 	sendLine(t, process, "go on")
 	await(t, "the end", process.Ended())
-	if err := process.Stop(bound); err != nil {
+	if err := process.Stop(waitLimit); err != nil {
 		t.Error(err)
 	}
-	want := []string{readyLine, strings.Repeat("a", maxLine-1), strings.Repeat("b", maxLine) + truncationMark,
-		strings.Repeat("c", maxLine) + truncationMark}
+	want := []string{readyLine, strings.Repeat("a", maxLineBytes-1),
+		strings.Repeat("b", maxLineBytes) + truncationMark, strings.Repeat("c", maxLineBytes) + truncationMark}
 	for range linesAfterLongOnes {
 		want = append(want, "something after the long line")
 	}
