--- a/internal/scenariofile/scenariofile.go
+++ b/internal/scenariofile/scenariofile.go
@@ -1,8 +1,9 @@
-// Package scenariofile loads scenarios of the laboratory. A scenario is a TOML file whose keys are the fields
-// of a struct (package settingsfile), given by its path or by the name of one that is shipped with the
-// program. Flags may override keys. All mistakes are reported at once, each with its line or flag.
+// Package scenariofile loads scenarios of the simulation. A scenario is a TOML file whose keys are the fields
+// of a struct (package settingsfile). It is selected by the path of its file or by the name of a scenario
+// that is shipped with the program. Flags may override keys. All errors are reported at once, each with its
+// line or flag.
 //
-// A Collection is not changed by its methods, which may be called from any goroutine.
+// The methods of a Collection don't change it and are safe for concurrent use.
 package scenariofile
 
 import (
@@ -14,18 +15,19 @@
 	"cresshub/internal/settingsfile"
 )
 
-// extension ends the names of scenario files. The name of a shipped scenario may be given without it.
+// extension is the file name extension of scenarios. The name of a shipped scenario may be given without it.
 const extension = ".toml"
 
-// Collection is the scenarios of one kind, which are read into a Scenario.
+// Collection is the scenarios of one kind, which are decoded into a Scenario.
 type Collection[Scenario any] struct {
 	Schema  *settingsfile.Schema // the keys of Scenario
 	Shipped fs.FS                // the files that come with the program, NAME.toml each
-	// Check adds to the builder what is wrong between keys. It is called for scenarios in which every key by
-	// itself is right.
+	// Check adds errors that concern several keys to the builder's Problems. It is called only if each key by
+	// itself is valid.
 	Check func(*Scenario, *settingsfile.Builder)
-	// OverridesAsTyped has the message on an override that is no key name it as it was typed, class.0.aim,
-	// rather than as messages on files do, class[1].aim. A section is then also reported as no key.
+	// OverridesAsTyped makes the error for an override of an unknown key name the key as it was typed,
+	// class.0.aim, rather than as errors in files do, class[1].aim. An override of a section is then reported
+	// as an unknown key, too.
 	OverridesAsTyped bool
 }
 
@@ -33,7 +35,7 @@
 func (c *Collection[Scenario]) Names() []string {
 	files, err := fs.Glob(c.Shipped, "*"+extension)
 	if err != nil {
-		return nil // only a malformed pattern is an error
+		return nil // Glob fails only on a malformed pattern
 	}
 	var names []string
 	for _, file := range files {
@@ -47,8 +49,8 @@
 	return fs.ReadFile(c.Shipped, strings.TrimSuffix(name, extension)+extension)
 }
 
-// Text returns the text of a scenario by the path of its file or, where there is no such file, by the name of
-// a shipped one. The error is that of the file.
+// Text returns the text of a scenario by the path of its file or, if there is no such file, by the name of a
+// shipped one. If neither exists, the error is that of reading the file.
 func (c *Collection[Scenario]) Text(name string) ([]byte, error) {
 	text, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -60,7 +62,7 @@
 }
 
 // Load reads a scenario by the path of its file or the name of a shipped one, overrides keys by the values
-// that flags set, and checks it. The error is of type settingsfile.SettingErrors and has all mistakes.
+// that flags set, and checks it. The error is a settingsfile.SettingErrors with all errors that were found.
 func (c *Collection[Scenario]) Load(name string, overrides map[string]string) (*Scenario, error) {
 	builder := c.Schema.NewBuilder()
 	text, err := c.Text(name)
@@ -81,8 +83,8 @@
 	return scenario, builder.Problems.Err()
 }
 
-// overridesLayer returns the layer of the keys that flags set. Keys that it keeps without knowing them are
-// reported when the layer is added to a Builder.
+// overridesLayer returns the layer of the keys that flags set. Without OverridesAsTyped it includes unknown
+// keys, which are reported when the layer is added to a Builder.
 func (c *Collection[Scenario]) overridesLayer(overrides map[string]string,
 	problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	layer := settingsfile.NewLayer()
--- a/internal/scenariofile/scenariofile_test.go
+++ b/internal/scenariofile/scenariofile_test.go
@@ -25,7 +25,7 @@
 	Tables  []tableSettings `key:"table"`
 }
 
-// testFiles is a collection whose scenarios must not count 7.
+// testFiles returns a collection whose Check rejects a count of 7.
 func testFiles() *Collection[testScenario] {
 	return &Collection[testScenario]{
 		Schema: settingsfile.NewSchema[testScenario]("", "this test has all keys"),
@@ -70,7 +70,7 @@
 		{"first", 4},
 		{"first.toml", 4},
 		{"second", 5},
-		{"second.toml", 8}, // the file here comes before the shipped one
+		{"second.toml", 8}, // a file in the working directory takes precedence over the shipped one
 	} {
 		scenario, err := testFiles().Load(test.name, nil)
 		if err != nil || scenario.Count != test.count {
@@ -87,7 +87,7 @@
 	}
 }
 
-// A directory is not taken for a missing file, even where a shipped scenario has its name.
+// A directory is not treated as a missing file, even if a shipped scenario has its name.
 func TestUnreadableFileIsNotReplacedByAShippedOne(t *testing.T) {
 	t.Chdir(t.TempDir())
 	if err := os.Mkdir("first", 0o700); err != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestOverridesComeBeforeTheFile(t *testing.T) {
+func TestOverridesTakePrecedenceOverTheFile(t *testing.T) {
 	set := map[string]string{"count": "6", "table.0.size": "9", "section.word": "other"}
 	for _, asTyped := range []bool{false, true} {
 		files := testFiles()
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestMistakesAreReportedAtOnce(t *testing.T) {
+func TestErrorsAreReportedAtOnce(t *testing.T) {
 	path := writeFile(t, "broken.toml", "coutn = 4\n[section]\nwrod = \"x\"\n")
 	set := map[string]string{"table.0.sise": "1", "section": "2", "count": "11"}
 	for _, test := range []struct {
@@ -135,7 +135,7 @@
 			files.OverridesAsTyped = test.asTyped
 			_, err := files.Load(path, set)
 			if err == nil {
-				t.Fatal("the mistakes were taken")
+				t.Fatal("the errors were not reported")
 			}
 			want := append([]string{
 				"--set count: count: 11 is out of range, 1 to 10 is allowed",
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestKeysAreCheckedTogetherOnceEachIsRight(t *testing.T) {
+func TestKeysAreCheckedTogetherOnceEachIsValid(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"count = 7\n", ":1: count: is 7"},
 		{"count = 7\nother = 1\n", ":2: other: is no key; this test has all keys"},
