--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -28,8 +28,8 @@
 	end          int64  // offset of the next frame
 	// dirty is set while there may be invalid bytes after end, which repair truncates before the next frame.
 	dirty bool
-	// abandoned is the path of a new segment whose directory sync failed; it is "" or has to be removed before
-	// the next frame.
+	// abandoned is the path of a new segment that was discarded because the directory sync failed, and that has
+	// to be removed before the next frame; "" if there is none.
 	abandoned string
 	closed    bool
 }
