--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -13,20 +13,20 @@
 // io.ErrUnexpectedEOF, unless only the end of the connection delimits it.
 type Body struct {
 	r          *bufio.Reader
-	length     int64 // by the head of the message, -1 if it is unknown
-	remaining  int64 // of the body, or of the present chunk
+	length     int64 // bytes of the full body by the head of the message, -1 if unknown
+	remaining  int64 // bytes not yet read of the body, or of the current chunk
 	chunked    bool
-	untilClose bool
-	sawChunk   bool  // a chunk has begun before
-	unbounded  bool  // it may be longer than MaxBodyLength
-	total      int64 // read so far, of one whose length is not known
-	err        error // for good
+	untilClose bool  // the body ends where the connection ends
+	sawChunk   bool  // the size line of at least one chunk has been read
+	unbounded  bool  // the body may be longer than MaxBodyLength
+	bytesRead  int64 // bytes read so far
+	err        error // returned by every further Read; io.EOF after a complete body
 }
 
-func newBody(r *bufio.Reader, h *head, toEnd bool) *Body {
-	b := &Body{r: r, length: h.length, chunked: h.chunked, untilClose: toEnd}
+func newBody(r *bufio.Reader, h *head, untilClose bool) *Body {
+	b := &Body{r: r, length: h.length, chunked: h.chunked, untilClose: untilClose}
 	switch {
-	case h.chunked || toEnd:
+	case h.chunked || untilClose:
 		b.length = -1
 	case h.length <= 0:
 		b.length, b.err = 0, io.EOF
@@ -36,24 +36,24 @@
 	return b
 }
 
-// Length returns the length of the full body in bytes, -1 if it is unknown before its end.
+// Length returns the length of the full body in bytes, -1 if it is not known before the body ends.
 func (b *Body) Length() int64 { return b.length }
 
 // BytesRead returns the number of bytes read so far.
-func (b *Body) BytesRead() int64 { return b.total }
+func (b *Body) BytesRead() int64 { return b.bytesRead }
 
 // Complete reports whether the full body has been read.
 func (b *Body) Complete() bool { return errors.Is(b.err, io.EOF) }
 
-// Buffered reports whether Read can return data from the buffer without waiting for the peer.
+// Buffered reports whether the next Read returns data or the end of the body without waiting for the peer.
 func (b *Body) Buffered() bool {
 	buffered, _ := b.r.Peek(b.r.Buffered())
 	if b.err != nil || len(buffered) > 0 && (!b.chunked || b.remaining > 0) {
 		return true
 	}
-	lines := 1 // the next chunk's size
+	lines := 1 // the line with the next chunk's size
 	if b.sawChunk {
-		lines++ // after the end of the one before
+		lines++ // the CRLF that ends the previous chunk's data
 	}
 	for ; lines > 0; lines-- {
 		end := bytes.IndexByte(buffered, '\n')
@@ -65,7 +65,7 @@
 	return len(buffered) > 0
 }
 
-// Read reads the available part of the body.
+// Read returns the next bytes of the body, without the framing of chunks.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
@@ -79,7 +79,7 @@
 		p = p[:min(int64(len(p)), b.remaining)]
 	}
 	n, err := b.r.Read(p)
-	if b.total += int64(n); b.length < 0 && b.total > MaxBodyLength && !b.unbounded {
+	if b.bytesRead += int64(n); b.length < 0 && b.bytesRead > MaxBodyLength && !b.unbounded {
 		b.err = errBodyTooLarge
 		return 0, b.err
 	}
@@ -100,7 +100,8 @@
 	return n, b.err
 }
 
-// nextChunk reads up to the first byte of the next chunk; io.EOF after the last one.
+// nextChunk reads up to the first data byte of the next chunk. It returns io.EOF after the last chunk, whose
+// trailer section it has read.
 func (b *Body) nextChunk() error {
 	budget := maxHead
 	if b.sawChunk {
@@ -157,8 +158,8 @@
 
 var errBodyTooLarge = &MalformedError{Status: StatusRequestEntityTooLarge, Reason: "body too large"}
 
-// ReadRequest reads one request with a body of at most MaxBufferedBody bytes. io.EOF means that the
-// connection ended before its first byte.
+// ReadRequest reads one request with a body of at most MaxBufferedBody bytes. The error io.EOF
+// means that the connection ended before the first byte.
 func ReadRequest(r *bufio.Reader) (*Request, error) {
 	request, body, err := ReadRequestHead(r)
 	if err == nil {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -17,8 +17,8 @@
 	chunked bool
 }
 
-// readLine reads one line without its CRLF; budget counts down the bytes that the head may still have. A line
-// may be longer than the reader's buffer.
+// readLine reads one line and returns it without its CRLF. It subtracts the bytes of the line from budget,
+// which is how many bytes the rest of the head may have. A line may be longer than the reader's buffer.
 func readLine(r *bufio.Reader, budget *int) (string, error) {
 	raw, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -82,7 +82,7 @@
 			return h, err
 		}
 	}
-	// Parsers differ in which of the two they follow: request smuggling.
+	// Parsers differ in which of the two fields they follow, which allows request smuggling.
 	if h.chunked && h.length >= 0 {
 		return h, malformed("both Content-Length and Transfer-Encoding")
 	}
@@ -92,7 +92,7 @@
 // addField parses one header line, adds it, and updates the framing of the body.
 func (h *head) addField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || !isToken(name) { // a space before the colon and a folded line end here too
+	if !ok || !isToken(name) { // also a space before the colon, and a folded line
 		return malformed("not a header field: %.40q", line)
 	}
 	value = strings.Trim(value, " \t")
@@ -130,14 +130,14 @@
 	return n, nil
 }
 
-// keepsAlive reports whether the connection persists after a message, by its version and Connection field.
-func (h *head) keepsAlive(old bool) bool {
+// keepsAlive reports whether the connection persists after the message, by its version and Connection field.
+func (h *head) keepsAlive(http10 bool) bool {
 	return !h.header.containsToken("Connection", "close") &&
-		(!old || h.header.containsToken("Connection", "keep-alive"))
+		(!http10 || h.header.containsToken("Connection", "keep-alive"))
 }
 
-// ReadRequestHead reads one request up to its body, which the returned Body reads. io.EOF means that the
-// connection ended before the first byte.
+// ReadRequestHead reads the head of one request; the returned Body reads its body. The error io.EOF means
+// that the connection ended before the first byte.
 func ReadRequestHead(r *bufio.Reader) (*Request, *Body, error) {
 	return ReadRequestHeadWithin(r, maxHead)
 }
@@ -145,7 +145,7 @@
 // ReadRequestHeadWithin is ReadRequestHead for a head of at most budget bytes.
 func ReadRequestHeadWithin(r *bufio.Reader, budget int) (*Request, *Body, error) {
 	line, err := readLine(r, &budget)
-	// some clients send an extra CRLF after a body (RFC 9112, 2.2)
+	// Some clients send an extra CRLF after a body (RFC 9112, 2.2).
 	for n := 0; err == nil && line == "" && n < maxEmptyLines; n++ {
 		line, err = readLine(r, &budget)
 	}
@@ -157,12 +157,12 @@
 	if !ok || !isToken(method) || strings.Contains(version, " ") {
 		return nil, nil, malformed("not a request line: %.40q", line)
 	}
-	old := version == "HTTP/1.0"
-	if !old && version != "HTTP/1.1" {
+	http10 := version == "HTTP/1.0"
+	if !http10 && version != "HTTP/1.1" {
 		return nil, nil, &MalformedError{Status: StatusHTTPVersionNotSupported,
 			Reason: fmt.Sprintf("version %.20q", version)}
 	}
-	target, host, ok := origin(target)
+	target, host, ok := splitTarget(target)
 	if !ok {
 		return nil, nil, malformed("target %.40q", target)
 	}
@@ -171,18 +171,18 @@
 		return nil, nil, err
 	}
 	switch {
-	case host != "": // an absolute target takes precedence over the field
+	case host != "": // the host of an absolute target takes precedence over the Host field
 		h.header = slices.DeleteFunc(h.header, func(f Field) bool { return strings.EqualFold(f.Name, "Host") })
 		h.header = append(h.header, Field{"Host", host})
-	case !old && h.header.Get("Host") == "":
+	case !http10 && h.header.Get("Host") == "":
 		return nil, nil, malformed("no Host")
 	}
-	if old && h.chunked {
+	if http10 && h.chunked {
 		return nil, nil, malformed("chunks in HTTP/1.0")
 	}
-	request := &Request{Method: method, Target: target, Header: h.header, Close: old || !h.keepsAlive(old),
-		HTTP10: old}
-	if e := h.header.Get("Expect"); e != "" && !old {
+	request := &Request{Method: method, Target: target, Header: h.header, Close: http10 || !h.keepsAlive(http10),
+		HTTP10: http10}
+	if e := h.header.Get("Expect"); e != "" && !http10 {
 		if !strings.EqualFold(e, "100-continue") {
 			return nil, nil, &MalformedError{Status: StatusExpectationFailed,
 				Reason: fmt.Sprintf("expectation %.20q", e)}
@@ -192,9 +192,10 @@
 	return request, newBody(r, &h, false), nil
 }
 
-// origin splits a request target into path with query, and the host of an absolute target.
-func origin(target string) (path, host string, ok bool) {
-	if strings.Trim(target, printable) != "" {
+// splitTarget splits a request target into its path with query and, for an absolute target, its host. It
+// reports false for a target that is malformed or of another form.
+func splitTarget(target string) (path, host string, ok bool) {
+	if strings.Trim(target, visibleASCII) != "" {
 		return target, "", false
 	}
 	if target != "" && target[0] == '/' {
@@ -205,18 +206,19 @@
 		return target, "", false
 	}
 	rest := target[len(scheme):]
-	at := strings.IndexAny(rest, "/?")
-	if at < 0 {
-		at = len(rest)
+	pathStart := strings.IndexAny(rest, "/?")
+	if pathStart < 0 {
+		pathStart = len(rest)
 	}
-	host, path = rest[:at], rest[at:]
+	host, path = rest[:pathStart], rest[pathStart:]
 	if path == "" || path[0] != '/' {
 		path = "/" + path
 	}
 	return path, host, host != "" && !strings.Contains(host, "@")
 }
 
-var printable = func() string {
+// visibleASCII holds every character that a request target may have.
+var visibleASCII = func() string {
 	var b []byte
 	for c := byte('!'); c <= '~'; c++ {
 		b = append(b, c)
@@ -224,12 +226,12 @@
 	return string(b)
 }()
 
-// ReadResponseHead reads the head of the final response to a request of that method; the returned Body reads
-// the rest.
+// ReadResponseHead reads the head of the final response to a request of the given method, skipping interim
+// responses; the returned Body reads the body.
 func ReadResponseHead(r *bufio.Reader, method string) (*Response, *Body, error) {
-	for range maxInterim {
+	for range maxResponseHeads {
 		budget := maxHead
-		status, old, err := readStatusLine(r, &budget)
+		status, http10, err := readStatusLine(r, &budget)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -240,17 +242,17 @@
 		if status < 200 {
 			continue
 		}
-		if old && h.chunked {
+		if http10 && h.chunked {
 			return nil, nil, malformed("chunks in HTTP/1.0")
 		}
-		response, body := newResponse(r, &h, method, status, old)
+		response, body := newResponse(r, &h, method, status, http10)
 		return response, body, nil
 	}
-	return nil, nil, malformed("no end of interim answers")
+	return nil, nil, malformed("too many interim responses")
 }
 
-// readStatusLine reads the first line of a response; old reports HTTP/1.0.
-func readStatusLine(r *bufio.Reader, budget *int) (status int, old bool, err error) {
+// readStatusLine reads the first line of a response; http10 reports whether its version is HTTP/1.0.
+func readStatusLine(r *bufio.Reader, budget *int) (status int, http10 bool, err error) {
 	line, err := readLine(r, budget)
 	if err != nil {
 		return 0, false, unexpectedEOF(err)
@@ -258,19 +260,19 @@
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err = strconv.Atoi(code)
-	old = version == "HTTP/1.0"
-	if !old && version != "HTTP/1.1" || err != nil || len(code) != 3 || status < 100 {
+	http10 = version == "HTTP/1.0"
+	if !http10 && version != "HTTP/1.1" || err != nil || len(code) != 3 || status < 100 {
 		return 0, false, malformed("not a status line: %.40q", line)
 	}
-	if status == StatusSwitchingProtocols { // no request asks for an upgrade
+	if status == StatusSwitchingProtocols { // requests never ask for an upgrade
 		return 0, false, malformed("switching protocols")
 	}
-	return status, old, nil
+	return status, http10, nil
 }
 
-// newResponse returns the final response with that head, and the reader of its body.
-func newResponse(r *bufio.Reader, h *head, method string, status int, old bool) (*Response, *Body) {
-	response := &Response{Status: status, Header: h.header, Close: !h.keepsAlive(old)}
+// newResponse returns the response with the given head, and the reader of its body.
+func newResponse(r *bufio.Reader, h *head, method string, status int, http10 bool) (*Response, *Body) {
+	response := &Response{Status: status, Header: h.header, Close: !h.keepsAlive(http10)}
 	if method == "HEAD" {
 		response.Bodiless, response.Length = true, h.length
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -13,16 +13,16 @@
 	"strings"
 )
 
-// Bounds of what is read.
+// Bounds of the messages that are read.
 const (
 	// MaxBufferedBody is the length in bytes up to which a body is read into memory; a longer one is streamed.
 	MaxBufferedBody = 64 << 10
 	// MaxBodyLength is the length in bytes beyond which a body is rejected.
-	MaxBodyLength = 64 << 20
-	maxHead       = 16 << 10 // bytes of the start line and the header
-	maxFields     = 64       // header fields
-	maxInterim    = 16       // responses to one request, the final one and those with status 1xx
-	maxEmptyLines = 4        // before a request line
+	MaxBodyLength    = 64 << 20
+	maxHead          = 16 << 10 // bytes of the start line and the header section
+	maxFields        = 64       // header fields
+	maxResponseHeads = 16       // responses to one request: interim ones (status 1xx) and the final one
+	maxEmptyLines    = 4        // empty lines before a request line
 )
 
 // MalformedError reports a message that is not well-formed HTTP/1.1, or exceeds a bound.
@@ -37,8 +37,8 @@
 	return &MalformedError{Status: StatusBadRequest, Reason: fmt.Sprintf(format, args...)}
 }
 
-// unexpectedEOF turns io.EOF inside a message into io.ErrUnexpectedEOF; io.EOF itself means an end between
-// two messages.
+// unexpectedEOF replaces io.EOF, where the connection ended inside a message, with io.ErrUnexpectedEOF. A
+// plain io.EOF is for a connection that ended between two messages.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -52,7 +52,7 @@
 // Header holds header fields in the order in which they were received.
 type Header []Field
 
-// Get returns the value of the first field with that name, whatever its case.
+// Get returns the value of the first field with that name, ignoring case, or "".
 func (h Header) Get(name string) string {
 	for i := range h {
 		if strings.EqualFold(h[i].Name, name) {
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// Repeated returns the first of names that occurs in more than one field, or "".
+// Repeated returns the first of the given names that more than one field has, ignoring case, or "".
 func (h Header) Repeated(names ...string) string {
 	for _, name := range names {
 		found := false
@@ -78,14 +78,14 @@
 	return ""
 }
 
-// containsToken reports whether the comma-separated list of the named field contains word.
-func (h Header) containsToken(name, word string) bool {
+// containsToken reports whether the comma-separated list of the named field contains token.
+func (h Header) containsToken(name, token string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
 			continue
 		}
 		for part := range strings.SplitSeq(h[i].Value, ",") {
-			if strings.EqualFold(strings.Trim(part, " \t"), word) {
+			if strings.EqualFold(strings.Trim(part, " \t"), token) {
 				return true
 			}
 		}
@@ -101,8 +101,8 @@
 	Body   []byte // the full body, or its beginning where Length is not 0
 	Close  bool   // the connection closes after this message
 
-	// Length is the length in bytes of a body that Body does not hold in full, -1 if it is unknown. It is 0
-	// where Body holds all of it.
+	// Length is the length in bytes of a body that Body does not hold in full, or -1 if it is unknown. It is
+	// 0 where Body holds the full body.
 	Length          int64
 	ExpectsContinue bool // the client awaits 100 Continue before it sends the body
 	HTTP10          bool // received as HTTP/1.0: no chunked coding, no status 1xx
@@ -116,8 +116,8 @@
 	Close  bool
 
 	Streaming bool  // Body does not hold the full body
-	Length    int64 // of the full body where Streaming or Bodiless is set; -1 if unknown
-	Bodiless  bool  // a response to HEAD: it has a length and no body
+	Length    int64 // bytes of the full body where Streaming or Bodiless is set; -1 if unknown
+	Bodiless  bool  // a response to HEAD: it may have a Content-Length but has no body
 }
 
 var hopByHopFields = []string{
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,8 +14,8 @@
 
 func reader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 4096) }
 
-// outcome is an error in a form to compare: a status for malformed input, else its text.
-func outcome(err error) string {
+// describeError returns an error in a form to compare: the status of a MalformedError, else the error's text.
+func describeError(err error) string {
 	var m *MalformedError
 	if errors.As(err, &m) {
 		return fmt.Sprint(m.Status)
@@ -25,7 +25,7 @@
 
 func TestReadRequest(t *testing.T) {
 	const host = "Host: h\r\n"
-	many := strings.Repeat("A: b\r\n", maxFields+1)
+	tooManyFields := strings.Repeat("A: b\r\n", maxFields+1)
 	for _, c := range []struct {
 		name, in string
 		want     *Request
@@ -41,18 +41,18 @@
 			&Request{Method: "POST", Target: "/", Body: []byte("abc"),
 				Header: Header{{"Host", "h"}, {"Transfer-Encoding", "chunked"}}}, "<nil>"},
 		{"nothing", "", nil, "EOF"},
-		{"cut in the line", "GET / HT", nil, "unexpected EOF"},
-		{"cut in the head", "GET / HTTP/1.1\r\n" + host, nil, "unexpected EOF"},
-		{"cut in the body", "POST / HTTP/1.1\r\n" + host + "Content-Length: 2\r\n\r\na", nil, "unexpected EOF"},
+		{"truncated line", "GET / HT", nil, "unexpected EOF"},
+		{"truncated head", "GET / HTTP/1.1\r\n" + host, nil, "unexpected EOF"},
+		{"truncated body", "POST / HTTP/1.1\r\n" + host + "Content-Length: 2\r\n\r\na", nil, "unexpected EOF"},
 		{"bare line feed", "GET / HTTP/1.1\n" + host + "\r\n", nil, "400"},
-		{"bare return", "GET / HTTP/1.1\r\n" + host + "A: b\rc\r\n\r\n", nil, "400"},
+		{"bare carriage return", "GET / HTTP/1.1\r\n" + host + "A: b\rc\r\n\r\n", nil, "400"},
 		{"two spaces", "GET  / HTTP/1.1\r\n" + host + "\r\n", nil, "400"},
 		{"no version", "GET /\r\n" + host + "\r\n", nil, "400"},
-		{"old version", "GET / HTTP/1.0\r\n\r\n", &Request{Method: "GET", Target: "/", Close: true, HTTP10: true},
+		{"version 1.0", "GET / HTTP/1.0\r\n\r\n", &Request{Method: "GET", Target: "/", Close: true, HTTP10: true},
 			"<nil>"},
-		{"old version with chunks", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", nil, "400"},
-		{"older version", "GET / HTTP/0.9\r\n\r\n", nil, "505"},
-		{"new version", "GET / HTTP/2.0\r\n\r\n", nil, "505"},
+		{"version 1.0 with chunks", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", nil, "400"},
+		{"version before 1.0", "GET / HTTP/0.9\r\n\r\n", nil, "505"},
+		{"version after 1.1", "GET / HTTP/2.0\r\n\r\n", nil, "505"},
 		{"absolute target", "GET HTTP://x:1?a=b HTTP/1.1\r\n" + host + "\r\n",
 			&Request{Method: "GET", Target: "/?a=b", Header: Header{{"Host", "x:1"}}}, "<nil>"},
 		{"target with a user", "GET http://u@h/ HTTP/1.1\r\n" + host + "\r\n", nil, "400"},
@@ -67,7 +67,7 @@
 			&Request{Method: "POST", Target: "/", Body: []byte("a"), ExpectsContinue: true,
 				Header: Header{{"Host", "h"},
 					{"Expect", "100-Continue"}, {"Content-Length", "1"}}}, "<nil>"},
-		{"expects something", "POST / HTTP/1.1\r\n" + host + "Expect: more\r\n\r\n", nil, "417"},
+		{"unknown expectation", "POST / HTTP/1.1\r\n" + host + "Expect: more\r\n\r\n", nil, "417"},
 		{"same length twice", "POST / HTTP/1.1\r\n" + host + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na",
 			nil, "400"},
 		{"list of lengths", "POST / HTTP/1.1\r\n" + host + "Content-Length: 1, 1\r\n\r\na", nil, "400"},
@@ -76,8 +76,8 @@
 			nil, "400"},
 		{"chunk that overflows", "POST / HTTP/1.1\r\n" + host +
 			"Transfer-Encoding: chunked\r\n\r\n8000000000000001\r\n", nil, "400"},
-		{"length beyond all", "POST / HTTP/1.1\r\n" + host + "Content-Length: 67108865\r\n\r\n", nil, "413"},
-		{"chunk beyond all", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n4000001\r\n", nil,
+		{"length above limit", "POST / HTTP/1.1\r\n" + host + "Content-Length: 67108865\r\n\r\n", nil, "413"},
+		{"chunk above limit", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n4000001\r\n", nil,
 			"413"},
 		{"signed chunk", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", nil, "400"},
 		{"target beyond ASCII", "GET /\xc3\xa4 HTTP/1.1\r\n" + host + "\r\n", nil, "400"},
@@ -97,11 +97,11 @@
 		{"chunks too large", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" +
 			strings.Repeat("a", MaxBufferedBody+1) + "\r\n0\r\n\r\n", nil, "413"},
 		{"line too long", "GET /" + strings.Repeat("a", 20000) + " HTTP/1.1\r\n", nil, "431"},
-		{"too many fields", "GET / HTTP/1.1\r\n" + many + "\r\n", nil, "431"},
+		{"too many fields", "GET / HTTP/1.1\r\n" + tooManyFields + "\r\n", nil, "431"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := ReadRequest(reader(c.in))
-			if diff := cmp.Diff(c.err, outcome(err)); diff != "" {
+			if diff := cmp.Diff(c.err, describeError(err)); diff != "" {
 				t.Fatal(diff)
 			}
 			if err == nil {
@@ -121,28 +121,29 @@
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabc",
 			&Response{Status: 200, Body: []byte("ab"), Header: Header{{"Content-Length", "2"}}}, "<nil>"},
-		{"until the end", "HTTP/1.1 200 OK\r\n\r\nab",
+		{"until the connection ends", "HTTP/1.1 200 OK\r\n\r\nab",
 			&Response{Status: 200, Body: []byte("ab"), Close: true}, "<nil>"},
-		{"old version", "HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na", &Response{Status: 200, Close: true,
+		{"version 1.0", "HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na", &Response{Status: 200, Close: true,
 			Body: []byte("a"), Header: Header{{"Content-Length", "1"}}}, "<nil>"},
-		{"old version that persists", "HTTP/1.0 200 OK\r\nConnection: x, Keep-Alive\r\nContent-Length: 0\r\n\r\n",
+		{"version 1.0 that persists", "HTTP/1.0 200 OK\r\nConnection: x, Keep-Alive\r\nContent-Length: 0\r\n\r\n",
 			&Response{Status: 200, Header: Header{{"Connection", "x, Keep-Alive"}, {"Content-Length", "0"}}}, "<nil>"},
 		{"not modified", "HTTP/1.1 304 x\r\nContent-Length: 5\r\n\r\n",
 			&Response{Status: 304, Header: Header{{"Content-Length", "5"}}}, "<nil>"},
-		{"another protocol from here on", "HTTP/1.1 101 x\r\n\r\nab", nil, "400"},
-		{"interim ones without end", strings.Repeat("HTTP/1.1 102 x\r\n\r\n", 99), nil, "400"},
+		{"status switching protocols", "HTTP/1.1 101 x\r\n\r\nab", nil, "400"},
+		{"too many interim responses", strings.Repeat("HTTP/1.1 102 x\r\n\r\n", 99), nil, "400"},
 		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nab", nil, "413"},
-		{"after an interim one", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n",
+		{"after an interim response", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n",
 			&Response{Status: 204}, "<nil>"},
 		{"nothing", "", nil, "unexpected EOF"},
-		{"cut", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na", nil, "unexpected EOF"},
-		{"cut chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n", nil, "unexpected EOF"},
+		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na", nil, "unexpected EOF"},
+		{"truncated chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n", nil,
+			"unexpected EOF"},
 		{"no status", "HTTP/1.1 OK\r\n\r\n", nil, "400"},
 		{"another protocol", "SSH-2.0-x\r\n\r\n", nil, "400"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := ReadResponse(reader(c.in))
-			if diff := cmp.Diff(c.err, outcome(err)); diff != "" {
+			if diff := cmp.Diff(c.err, describeError(err)); diff != "" {
 				t.Fatal(diff)
 			}
 			if err == nil {
@@ -166,7 +167,7 @@
 	}
 }
 
-// What is written is read again as it was.
+// A request and a response are written with their framing fields and the exact bytes of the wire format.
 func TestWrite(t *testing.T) {
 	var b bytes.Buffer
 	w := bufio.NewWriter(&b)
@@ -191,19 +192,20 @@
 	}
 }
 
-// A body is read the same whatever pieces it comes in, and one that is cut short never passes for whole.
+// A body is read the same whatever the sizes of the reads that deliver it, and a truncated body never counts
+// as complete.
 func TestBodyInPieces(t *testing.T) {
 	want := strings.Repeat("0123456789", 1000)
 	chunked := "Transfer-Encoding: chunked\r\n\r\n"
-	for at := 0; at < len(want); at += 999 {
-		piece := want[at:min(at+999, len(want))]
+	for start := 0; start < len(want); start += 999 {
+		piece := want[start:min(start+999, len(want))]
 		chunked += fmt.Sprintf("%x ;x=\"y\"\r\n%s\r\n", len(piece), piece)
 	}
 	for _, in := range []string{chunked + "0\r\nT: u\r\n\r\n",
 		"Content-Length: 10000\r\n\r\n" + want} {
 		in = "HTTP/1.1 200 OK\r\n" + in
 		for size := 1; size < len(in); size = size*3 + 1 {
-			_, b, err := ReadResponseHead(bufio.NewReaderSize(&pieces{in, size}, 16), "GET")
+			_, b, err := ReadResponseHead(bufio.NewReaderSize(&piecewiseReader{in, size}, 16), "GET")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -211,8 +213,8 @@
 				t.Errorf("in pieces of %d: %d bytes, %v", size, len(got), err)
 			}
 		}
-		head := strings.Index(in, "\r\n\r\n") + 4
-		for cut := head; cut < len(in); cut += 97 {
+		bodyStart := strings.Index(in, "\r\n\r\n") + 4
+		for cut := bodyStart; cut < len(in); cut += 97 {
 			_, b, err := ReadResponseHead(reader(in[:cut]), "GET")
 			if err != nil {
 				t.Fatal(err)
@@ -224,8 +226,9 @@
 	}
 }
 
-// Buffered is true only where the next Read finds a byte or the end in what has come already.
-func TestReady(t *testing.T) {
+// Buffered is true only where the bytes already received let the next Read return data or the end of the
+// body.
+func TestBuffered(t *testing.T) {
 	for in, want := range map[string]bool{"": false, "5": false, "5\r": false, "5\r\n": false, "5\r\np": true,
 		"5\r\npiece": false, "5\r\npiece\r\n": false, "5\r\npiece\r\n2": false, "5\r\npiece\r\n2\r\n": false,
 		"5\r\npiece\r\n2\r\nx": true, "5\r\npiece\r\n0\r\n\r\n": true} {
@@ -242,12 +245,13 @@
 	}
 }
 
-type pieces struct {
+// piecewiseReader returns at most size bytes of text from each Read.
+type piecewiseReader struct {
 	text string
 	size int
 }
 
-func (p *pieces) Read(to []byte) (int, error) {
+func (p *piecewiseReader) Read(to []byte) (int, error) {
 	if p.text == "" {
 		return 0, io.EOF
 	}
@@ -256,12 +260,13 @@
 	return n, nil
 }
 
-// What streams is framed by its length, in chunks, or for an old client by the end of the connection; more or
-// less than was told is an error, so that nothing passes for whole that is not.
+// A streaming body is framed by its length, by chunks or, for an HTTP/1.0 client, by the end of the
+// connection. Writing more or fewer bytes than the header states is an error, so that a truncated body never
+// counts as complete.
 func TestBegin(t *testing.T) {
 	for _, c := range []struct {
 		length      int64
-		old         bool
+		http10      bool
 		write, want string
 		err         error
 	}{
@@ -274,7 +279,7 @@
 		var b bytes.Buffer
 		w := bufio.NewWriter(&b)
 		a := &Response{Status: 200, Body: []byte("ab"), Streaming: true, Length: c.length}
-		body, err := a.Begin(w, c.old)
+		body, err := a.Begin(w, c.http10)
 		if err == nil {
 			_, err = body.Write([]byte(c.write))
 		}
@@ -300,7 +305,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		q, err := ReadRequest(reader(in))
 		if err == nil && (q.Method == "" || q.Target == "" || len(q.Body) > MaxBufferedBody) {
-			t.Errorf("took %q as %+v", in, q)
+			t.Errorf("accepted %q as %+v", in, q)
 		}
 	})
 }
@@ -315,7 +320,7 @@
 			status = malformed.Status
 		}
 		if status != want || want == 0 && err != nil {
-			t.Errorf("room for %d bytes: %v, want status %d", budget, err, want)
+			t.Errorf("budget of %d bytes: %v, want status %d", budget, err, want)
 		}
 	}
 }
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,8 +1,8 @@
 package http1
 
-// The status codes that this package, the proxies and the routers answer with or tell apart (RFC 9110,
-// section 15; RFC 6585), with the names that net/http gives them: a program that speaks HTTP by this package
-// need not link net/http.
+// The status codes that this package, the proxies and the routers send or distinguish (RFC 9110, section 15;
+// RFC 6585). They have the names of net/http, but are defined here so that a program that speaks HTTP through
+// this package need not link net/http.
 const (
 	StatusContinue           = 100
 	StatusSwitchingProtocols = 101
@@ -33,7 +33,7 @@
 	StatusHTTPVersionNotSupported = 505
 )
 
-// reasonPhrases are the reason phrases of status lines. A code that is not in it is written without one.
+// reasonPhrases holds the reason phrases of status lines. A code that it lacks is written without one.
 var reasonPhrases = map[int]string{
 	StatusContinue:                    "Continue",
 	StatusOK:                          "OK",
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// Values in place of a body's length in bytes.
+// Values that stand for a framing other than by Content-Length, in place of a body's length in bytes.
 const (
 	lengthChunked    = -1
-	lengthUntilClose = -2
-	lengthNone       = -3
+	lengthUntilClose = -2 // the end of the connection ends the body
+	lengthNone       = -3 // no body; a header with this length gets no framing field
 )
 
 // Write writes a request whose Body holds the full body.
@@ -19,8 +19,8 @@
 	return err
 }
 
-// Begin writes the request as far as Body goes. The rest of a longer body is written to the BodyWriter, whose
-// Close completes the message.
+// Begin writes the head of the request and the bytes in Body. The caller writes the rest of a longer body to
+// the BodyWriter, whose Close completes the message.
 func (q *Request) Begin(w *bufio.Writer) (BodyWriter, error) {
 	w.WriteString(q.Method)
 	w.WriteByte(' ')
@@ -43,9 +43,10 @@
 	return err
 }
 
-// Begin writes the response as far as Body goes; old says that the client speaks HTTP/1.0, without chunked
-// coding. The rest of a streaming body is written to the BodyWriter, whose Close completes the message.
-func (a *Response) Begin(w *bufio.Writer, old bool) (BodyWriter, error) {
+// Begin writes the head of the response and the bytes in Body; http10 says that the client speaks HTTP/1.0,
+// which has no chunked coding. The caller writes the rest of a streaming body to the BodyWriter, whose Close
+// completes the message.
+func (a *Response) Begin(w *bufio.Writer, http10 bool) (BodyWriter, error) {
 	w.WriteString("HTTP/1.1 ")
 	w.WriteString(strconv.Itoa(a.Status))
 	w.WriteByte(' ')
@@ -60,7 +61,7 @@
 	case a.Bodiless:
 	case !a.Streaming:
 		length = int64(len(a.Body))
-	case length < 0 && old:
+	case length < 0 && http10:
 		length = lengthUntilClose
 		a.Close = true
 	}
@@ -74,8 +75,9 @@
 // WriteContinue writes the interim response that a client with Expect: 100-continue awaits.
 func WriteContinue(w *bufio.Writer) { w.WriteString("HTTP/1.1 100 Continue\r\n\r\n") }
 
-// writeHead relies on bufio.Writer keeping its first error for the last call.
-func writeHead(w *bufio.Writer, h Header, ends bool, length int64) {
+// writeHead writes the framing fields, the header and the empty line. It ignores errors, because a
+// bufio.Writer returns its first error from all later calls too.
+func writeHead(w *bufio.Writer, h Header, closes bool, length int64) {
 	switch {
 	case length >= 0:
 		w.WriteString("Content-Length: ")
@@ -90,7 +92,7 @@
 		w.WriteString(h[i].Value)
 		w.WriteString("\r\n")
 	}
-	if ends {
+	if closes {
 		w.WriteString("Connection: close\r\n")
 	}
 	w.WriteString("\r\n")
@@ -99,17 +101,18 @@
 // BodyWriter writes a body in parts. It is a value, so that a message without a body costs no allocation.
 type BodyWriter struct {
 	w         *bufio.Writer
-	length    int64
-	remaining int64
+	length    int64 // bytes of the body, or one of the values above
+	remaining int64 // bytes that Write still accepts; unused where the length does not bound it
 }
 
-func writeBody(w *bufio.Writer, length int64, first []byte) (BodyWriter, error) {
+func writeBody(w *bufio.Writer, length int64, prefix []byte) (BodyWriter, error) {
 	b := BodyWriter{w: w, length: length, remaining: max(length, 0)}
-	_, err := b.Write(first)
+	_, err := b.Write(prefix)
 	return b, err
 }
 
-// Write writes a part of the body. Exceeding the length in the header is io.ErrShortWrite.
+// Write writes a part of the body. A part that exceeds the length in the header is rejected with
+// io.ErrShortWrite.
 func (b *BodyWriter) Write(p []byte) (int, error) {
 	if b.length >= 0 || b.length == lengthNone {
 		if int64(len(p)) > b.remaining {
@@ -127,7 +130,7 @@
 	return n, err
 }
 
-// Close ends the body. Less than the length in the header is io.ErrUnexpectedEOF.
+// Close ends the body. It returns io.ErrUnexpectedEOF where fewer bytes were written than the header states.
 func (b *BodyWriter) Close() error {
 	if b.length > 0 && b.remaining > 0 {
 		return io.ErrUnexpectedEOF
