--- a/internal/connbuffer/connbuffer.go
+++ b/internal/connbuffer/connbuffer.go
@@ -1,7 +1,8 @@
 // Package connbuffer gives a network connection fixed buffers: one ring buffer for each direction, and bufio
 // on top of them. The memory of a connection is allocated when it opens and never grows.
 //
-// One goroutine reads a Conn and one writes it. LastReceived and Still may be called by any goroutine.
+// At most one goroutine reads a Conn, and at most one writes it. LastReceived and Still may be called by any
+// goroutine.
 package connbuffer
 
 import (
@@ -23,8 +24,8 @@
 // Buffer is a ring buffer. The zero value has no capacity; use New.
 type Buffer struct {
 	storage []byte
-	start   int // of the oldest byte
-	length  int
+	start   int // index of the oldest byte in storage
+	length  int // number of buffered bytes
 }
 
 // New returns an empty Buffer with a capacity of size bytes.
@@ -40,7 +41,7 @@
 func (b *Buffer) Append(p []byte) int {
 	n := 0
 	for n < len(p) && b.Free() > 0 {
-		c := copy(b.gap(), p[n:])
+		c := copy(b.freeSpace(), p[n:])
 		b.length += c
 		n += c
 	}
@@ -58,9 +59,9 @@
 	return n
 }
 
-// Fill reads once from r into the free space.
+// Fill calls r.Read once, with the free space up to the end of the storage or the oldest byte.
 func (b *Buffer) Fill(r io.Reader) (int, error) {
-	n, err := r.Read(b.gap())
+	n, err := r.Read(b.freeSpace())
 	b.length += n
 	return n, err
 }
@@ -77,10 +78,11 @@
 	return nil
 }
 
-// contiguous returns the oldest bytes up to the end of the storage, gap the free space likewise.
+// contiguous returns the oldest buffered bytes, up to the end of the storage.
 func (b *Buffer) contiguous() []byte { return b.storage[b.start:min(b.start+b.length, len(b.storage))] }
 
-func (b *Buffer) gap() []byte {
+// freeSpace returns the free space after the newest byte, up to the end of the storage or the oldest byte.
+func (b *Buffer) freeSpace() []byte {
 	end := b.start + b.length
 	if end >= len(b.storage) {
 		end -= len(b.storage)
@@ -97,30 +99,32 @@
 	}
 }
 
-// source is the read side of a connection. The kernel reports a reset only once and an end of file from then
-// on, so the first error is retained.
+// source is the read side of a connection. It retains the first error, because the kernel reports a reset
+// only once and an end of file from then on.
 type source struct {
 	ring         *Buffer
 	conn         net.Conn
 	lastReceived atomic.Int64          // when bytes were last received, Unix time in ns
-	failure      atomic.Pointer[error] // set by Read or by a peek at the socket
+	failure      atomic.Pointer[error] // first error of a Read or of a peek at the socket
 }
 
 func (s *source) Read(p []byte) (int, error) {
 	if s.ring.Len() > 0 {
 		return s.ring.Consume(p), nil
 	}
-	if len(p) > len(s.ring.storage) { // a large read bypasses the ring
-		return s.record(s.conn.Read(p))
+	if len(p) > len(s.ring.storage) { // a read of more than the ring's capacity bypasses it
+		return s.recordRead(s.conn.Read(p))
 	}
-	n, err := s.record(s.ring.Fill(s.conn))
+	n, err := s.recordRead(s.ring.Fill(s.conn))
 	if n == 0 {
 		return 0, err
 	}
 	return s.ring.Consume(p), nil
 }
 
-func (s *source) record(n int, err error) (int, error) {
+// recordRead records when bytes were received. If there are none, it returns the retained error or, without
+// one, retains err unless it is an end of file or an expired deadline.
+func (s *source) recordRead(n int, err error) (int, error) {
 	if n > 0 {
 		s.lastReceived.Store(time.Now().UnixNano())
 		return n, err
@@ -129,7 +133,7 @@
 		return 0, *failure
 	}
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
-		failure := err // only here does it escape to the heap
+		failure := err // a copy, so that only this path allocates
 		s.failure.Store(&failure)
 	}
 	return 0, err
@@ -143,6 +147,8 @@
 	}
 }
 
+// sink is the write side of a connection. A write of more than the ring's capacity drains the ring and then
+// bypasses it.
 type sink struct {
 	ring *Buffer
 	conn net.Conn
@@ -168,12 +174,12 @@
 // Conn is a network connection that is read and written through its two ring buffers.
 type Conn struct {
 	net.Conn
-	In  *bufio.Reader
-	Out *bufio.Writer
+	In  *bufio.Reader // reads through the ring buffer of received bytes
+	Out *bufio.Writer // writes to the ring buffer of bytes to send; see Flush
 	in  *source
 	out *Buffer
 
-	peek *peeker // created on first use
+	peeker *peeker // created on first use
 }
 
 // NewConn returns a Conn with empty buffers around c.
@@ -186,7 +192,7 @@
 	}
 }
 
-// LastReceived returns when bytes were last received, the zero time before the first. Any goroutine may call
+// LastReceived returns when bytes were last received, or the zero time if none were. Any goroutine may call
 // it.
 func (c *Conn) LastReceived() time.Time {
 	if n := c.in.lastReceived.Load(); n > 0 {
@@ -195,33 +201,35 @@
 	return time.Time{}
 }
 
-// TCP returns the TCP connection below, also where it is wrapped; false if it is another kind.
+// TCP returns the underlying TCP connection, also where a wrapper with a NetConn method holds it. It returns
+// false if the connection is not TCP.
 func (c *Conn) TCP() (*net.TCPConn, bool) {
-	below := c.Conn
-	if wrapped, ok := below.(interface{ NetConn() net.Conn }); ok {
-		below = wrapped.NetConn()
+	inner := c.Conn
+	if wrapped, ok := inner.(interface{ NetConn() net.Conn }); ok {
+		inner = wrapped.NetConn()
 	}
-	tcp, ok := below.(*net.TCPConn)
+	tcp, ok := inner.(*net.TCPConn)
 	return tcp, ok
 }
 
 // HasBuffered reports whether bytes were read from the socket and not yet consumed.
 func (c *Conn) HasBuffered() bool { return c.In.Buffered() > 0 || c.in.ring.Len() > 0 }
 
-// Quiet reports whether nothing can be read, neither from the buffers nor from the socket: no byte and no
-// end.
+// Quiet reports whether a read would wait: neither the buffers nor the socket have bytes, and the socket
+// reports neither an end of file nor an error.
 func (c *Conn) Quiet() bool { return !c.HasBuffered() && c.Still() }
 
-// AwaitReadable returns once the socket is readable, be it for an end, and consumes nothing: until Read is
-// called Still reports it. It observes the read deadline, but data that has arrived when the deadline has
-// passed counts: this goroutine may be scheduled after both.
+// AwaitReadable waits until bytes, an end of file or an error can be read, and consumes nothing: Still
+// returns false until Read is called. It observes the read deadline, but returns nil if the socket is
+// readable when the deadline has passed, because data may have arrived in time and this goroutine have been
+// scheduled only after the deadline.
 func (c *Conn) AwaitReadable() error {
 	if c.HasBuffered() {
 		return nil
 	}
 	p, err := c.socketPeeker()
 	if p == nil {
-		return err // without a descriptor only Read can wait
+		return err // a connection without a descriptor can be waited for only by Read
 	}
 	if err = p.raw.Read(p.isReadable); errors.Is(err, os.ErrDeadlineExceeded) && !c.Still() {
 		return nil
@@ -229,8 +237,9 @@
 	return err
 }
 
-// Still reports whether nothing can be read from the socket. It consumes nothing, so another goroutine may be
-// in Read.
+// Still reports whether a read of the socket would wait: the socket has no bytes and reports neither an end
+// of file nor an error. It ignores the buffers, and returns true for a connection without a descriptor. It
+// consumes nothing, so another goroutine may be in Read.
 func (c *Conn) Still() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -240,19 +249,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
-	// Control and not Read, which returns on an expired deadline without checking the socket.
+	wouldBlock := false
+	// raw.Read would return on an expired deadline without checking the socket; raw.Control does not.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		wouldBlock = errors.Is(err, syscall.EAGAIN)
 		c.in.recordPeek(err)
 	})
-	return err == nil && quiet
+	return err == nil && wouldBlock
 }
 
-// PeerClosed reports whether the peer has closed or reset its sending side, even while earlier bytes are
-// still unread. It consumes nothing. Only the goroutine that reads may call it.
+// PeerClosed reports whether the peer has closed its sending side or reset the connection, even while earlier
+// bytes are still unread. It consumes nothing. Only the goroutine that reads may call it.
 func (c *Conn) PeerClosed() bool {
 	p, err := c.socketPeeker()
 	if p == nil {
@@ -262,9 +271,9 @@
 	return err != nil || p.peerClosed
 }
 
-// socketPeeker returns the peeker of the connection, nil where it has no descriptor.
+// socketPeeker returns the peeker of the connection, or nil if the connection has no descriptor.
 func (c *Conn) socketPeeker() (*peeker, error) {
-	if c.peek == nil {
+	if c.peeker == nil {
 		s, ok := c.Conn.(syscall.Conn)
 		if !ok {
 			return nil, nil
@@ -273,37 +282,39 @@
 		if err != nil {
 			return nil, err
 		}
-		c.peek = &peeker{raw: raw, in: c.in}
-		// each method value costs an allocation
-		c.peek.checkClosed, c.peek.isReadable = c.peek.findClosed, c.peek.findReadable
+		c.peeker = &peeker{raw: raw, in: c.in}
+		// stored once, since each evaluation of a method value allocates
+		c.peeker.checkClosed, c.peeker.isReadable = c.peeker.detectClosed, c.peeker.detectReadable
 	}
-	return c.peek, nil
+	return c.peeker, nil
 }
 
-// peeker looks at a socket without consuming data; it is retained so that a peek allocates nothing.
+// peeker checks a socket without consuming data. A Conn retains its peeker, so that a peek allocates nothing.
 type peeker struct {
 	raw         syscall.RawConn
 	in          *source
-	checkClosed func(fd uintptr)
-	isReadable  func(fd uintptr) bool
+	checkClosed func(fd uintptr)      // detectClosed
+	isReadable  func(fd uintptr) bool // detectReadable
 	buffer      [1]byte
 	pollFDs     [1]unix.PollFd
-	peerClosed  bool
+	peerClosed  bool // result of the last checkClosed
 }
 
-func (p *peeker) findClosed(fd uintptr) {
+// detectClosed sets peerClosed.
+func (p *peeker) detectClosed(fd uintptr) {
 	n, _, err := syscall.Recvfrom(int(fd), p.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	p.in.recordPeek(err)
 	p.peerClosed = n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) &&
 		!errors.Is(err, syscall.EINTR)
-	if n > 0 { // the end may follow unread bytes
+	if n > 0 { // the peer may have closed after unread bytes
 		p.pollFDs[0] = unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
 		n, err := unix.Poll(p.pollFDs[:], 0)
 		p.peerClosed = err == nil && n > 0 && p.pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	}
 }
 
-func (p *peeker) findReadable(fd uintptr) bool {
+// detectReadable reports whether a read would return at once, with bytes, an end of file or an error.
+func (p *peeker) detectReadable(fd uintptr) bool {
 	_, _, err := syscall.Recvfrom(int(fd), p.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	for errors.Is(err, syscall.EINTR) {
 		_, _, err = syscall.Recvfrom(int(fd), p.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -312,8 +323,8 @@
 	return !errors.Is(err, syscall.EAGAIN)
 }
 
-// Flush writes everything buffered to the socket. After an error the last byte written since the previous
-// Flush has not left this process.
+// Flush writes all buffered bytes to the socket. If it returns an error, the last byte written to Out since
+// the previous Flush has not left this process.
 func (c *Conn) Flush() error {
 	if err := c.Out.Flush(); err != nil {
 		return err
--- a/internal/connbuffer/connbuffer_test.go
+++ b/internal/connbuffer/connbuffer_test.go
@@ -14,8 +14,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Whatever the sizes of the pieces, a ring hands on the same bytes in the same order and never more
-// than it has room for.
+// Whatever the sizes of reads and writes, a Buffer returns the same bytes in the same order, and never holds
+// more than its capacity.
 func TestBufferKeepsOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := New(7)
@@ -46,19 +46,20 @@
 	}
 }
 
-func TestDrainKeepsWhatWasNotTaken(t *testing.T) {
+func TestDrainKeepsUnwrittenBytes(t *testing.T) {
 	b := New(8)
 	b.Append([]byte("abc"))
-	if err := b.Drain(brokenAfter{1}); !errors.Is(err, io.ErrClosedPipe) || b.Len() != 2 {
+	if err := b.Drain(failingWriter{1}); !errors.Is(err, io.ErrClosedPipe) || b.Len() != 2 {
 		t.Errorf("error %v and %d bytes left, want a closed pipe and 2", err, b.Len())
 	}
 }
 
-type brokenAfter struct{ n int }
+// failingWriter reports n bytes written and an error for each Write.
+type failingWriter struct{ n int }
 
-func (b brokenAfter) Write(p []byte) (int, error) { return b.n, io.ErrClosedPipe }
+func (w failingWriter) Write(p []byte) (int, error) { return w.n, io.ErrClosedPipe }
 
-func TestConnCarriesMoreThanItsRings(t *testing.T) {
+func TestConnTransfersMoreThanItsBuffers(t *testing.T) {
 	x, y := net.Pipe()
 	a, b := NewConn(x), NewConn(y)
 	want := bytes.Repeat([]byte("0123456789"), Size)
@@ -69,11 +70,11 @@
 	}()
 	got, err := io.ReadAll(iotest.OneByteReader(b.In))
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%d bytes came, %v; want %d", len(got), err, len(want))
+		t.Errorf("%d bytes received, %v; want %d", len(got), err, len(want))
 	}
 }
 
-// connected are the two ends of a connection over loopback.
+// connected returns the two ends of a TCP connection over loopback.
 func connected(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,40 +92,40 @@
 	return near, far
 }
 
-// Quiet looks at the system's bytes also where a deadline has passed.
+// Quiet checks the socket even after the read deadline has passed.
 func TestQuiet(t *testing.T) {
 	near, far := connected(t)
 	c := NewConn(near)
 	c.SetReadDeadline(time.Unix(1, 0))
 	if !c.Quiet() {
-		t.Error("nothing was sent")
+		t.Error("not quiet, though nothing was sent")
 	}
-	for what, do := range map[string]func(){
-		"a byte": func() { far.Write([]byte{1}) }, "the end": func() { far.Close() },
+	for event, trigger := range map[string]func(){
+		"a byte": func() { far.Write([]byte{1}) }, "an end of file": func() { far.Close() },
 	} {
-		do()
-		end := time.Now().Add(20 * time.Second)
-		for c.Quiet() && time.Now().Before(end) {
+		trigger()
+		deadline := time.Now().Add(20 * time.Second)
+		for c.Quiet() && time.Now().Before(deadline) {
 			time.Sleep(time.Millisecond)
 		}
 		if c.Quiet() {
-			t.Errorf("%s goes unseen", what)
+			t.Errorf("Quiet does not notice %s", event)
 		}
 	}
 }
 
-// The system tells of a reset once, and from then on of an end: whoever reads again must not take that for
-// one.
-func TestResetStaysOne(t *testing.T) {
-	for _, soon := range []bool{false, true} { // whether a look at the system meets it first
+// The kernel reports a reset only once and an end of file from then on. Later reads must still return the
+// reset, whether a Read or a peek at the socket was the first to get it.
+func TestResetIsRetained(t *testing.T) {
+	for _, peeksFirst := range []bool{false, true} { // whether PeerClosed gets the reset before Read
 		near, far := connected(t)
 		far.Write([]byte("ab"))
 		far.(*net.TCPConn).SetLinger(0)
 		far.Close()
 		c := NewConn(near)
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if soon {
-			for end := time.Now().Add(20 * time.Second); !c.PeerClosed() && time.Now().Before(end); {
+		if peeksFirst {
+			for deadline := time.Now().Add(20 * time.Second); !c.PeerClosed() && time.Now().Before(deadline); {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -132,12 +133,12 @@
 			t.Fatalf("%q, %v", b, err)
 		}
 		c.In.Discard(2)
-		if soon && c.Quiet() {
-			t.Error("a reset is taken for quiet")
+		if peeksFirst && c.Quiet() {
+			t.Error("Quiet does not notice the reset")
 		}
 		for range 3 {
 			if _, err := c.In.Peek(1); !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("looked at first: %v; %v", soon, err)
+				t.Errorf("peeked first: %v; %v", peeksFirst, err)
 			}
 		}
 	}
