--- a/internal/connbuffer/connbuffer.go
+++ b/internal/connbuffer/connbuffer.go
@@ -1,8 +1,8 @@
 // Package connbuffer gives a network connection fixed buffers: one ring buffer for each direction, and bufio
 // on top of them. The memory of a connection is allocated when it opens and never grows.
 //
-// At most one goroutine reads a Conn, and at most one writes it. LastReceived and Still may be called by any
-// goroutine.
+// At most one goroutine reads a Conn, and at most one writes it. LastReceived and SocketQuiet may be called
+// by any goroutine.
 package connbuffer
 
 import (
@@ -217,9 +217,9 @@
 
 // Quiet reports whether a read would wait: neither the buffers nor the socket have bytes, and the socket
 // reports neither an end of file nor an error.
-func (c *Conn) Quiet() bool { return !c.HasBuffered() && c.Still() }
+func (c *Conn) Quiet() bool { return !c.HasBuffered() && c.SocketQuiet() }
 
-// AwaitReadable waits until bytes, an end of file or an error can be read, and consumes nothing: Still
+// AwaitReadable waits until bytes, an end of file or an error can be read, and consumes nothing: SocketQuiet
 // returns false until Read is called. It observes the read deadline, but returns nil if the socket is
 // readable when the deadline has passed, because data may have arrived in time and this goroutine have been
 // scheduled only after the deadline.
@@ -231,16 +231,16 @@
 	if p == nil {
 		return err // a connection without a descriptor can be waited for only by Read
 	}
-	if err = p.raw.Read(p.isReadable); errors.Is(err, os.ErrDeadlineExceeded) && !c.Still() {
+	if err = p.raw.Read(p.isReadable); errors.Is(err, os.ErrDeadlineExceeded) && !c.SocketQuiet() {
 		return nil
 	}
 	return err
 }
 
-// Still reports whether a read of the socket would wait: the socket has no bytes and reports neither an end
-// of file nor an error. It ignores the buffers, and returns true for a connection without a descriptor. It
-// consumes nothing, so another goroutine may be in Read.
-func (c *Conn) Still() bool {
+// SocketQuiet reports whether a read of the socket would wait: the socket has no bytes and reports neither an
+// end of file nor an error. It ignores the buffers, and returns true for a connection without a descriptor.
+// It consumes nothing, so another goroutine may be in Read.
+func (c *Conn) SocketQuiet() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/proxy/ingress/drain.go
+++ b/internal/proxy/ingress/drain.go
@@ -88,9 +88,9 @@
 	for c := range s.clients {
 		switch {
 		case !c.idle:
-		case c.receiving && c.since.Before(p.PartialBefore) && c.Still():
+		case c.receiving && c.since.Before(p.PartialBefore) && c.SocketQuiet():
 			c.SetReadDeadline(pastDeadline) // the connection's goroutine then responds with an error
-		case !c.receiving && c.since.Before(p.IdleBefore) && c.Still():
+		case !c.receiving && c.since.Before(p.IdleBefore) && c.SocketQuiet():
 			s.closeIdle(c)
 		}
 	}
--- a/internal/proxy/ingress/drain_test.go
+++ b/internal/proxy/ingress/drain_test.go
@@ -140,7 +140,7 @@
 		before := idle.LastReceived()
 		io.WriteString(conn, getRequest(fmt.Sprint(i)))
 		nettest.Until(t, "the bytes of the request arrive", func() bool {
-			return !idle.Still() || idle.LastReceived() != before
+			return !idle.SocketQuiet() || idle.LastReceived() != before
 		})
 		for range 50 { // time for the goroutine to consume the bytes, if it does so without the lock
 			if idle.LastReceived() != before {
@@ -325,7 +325,7 @@
 		far, near := tcpPair(t)
 		io.WriteString(far, "GET "+readyPath+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		c := &client{Conn: connbuffer.NewConn(near), wakeup: make(chan struct{}, 1), idle: true, unused: true}
-		nettest.Until(t, "the request has arrived", func() bool { return !c.Still() })
+		nettest.Until(t, "the request has arrived", func() bool { return !c.SocketQuiet() })
 		if !rig.Descriptors.Acquire(descriptors.Clients) {
 			t.Fatal("the descriptor budget is exhausted")
 		}
@@ -415,7 +415,7 @@
 		return c.AwaitReadable() != nil
 	}
 	io.WriteString(far, "GET /one")
-	nettest.Until(t, "the bytes arrive", func() bool { return !c.Still() })
+	nettest.Until(t, "the bytes arrive", func() bool { return !c.SocketQuiet() })
 	if closePartial() {
 		t.Error("the wait was ended before the connection's goroutine had read the bytes that had arrived")
 	}
--- a/internal/proxy/ingress/idle.go
+++ b/internal/proxy/ingress/idle.go
@@ -95,7 +95,7 @@
 		if candidate == nil {
 			return false
 		}
-		if candidate.receiving || candidate.Still() {
+		if candidate.receiving || candidate.SocketQuiet() {
 			return s.closeIdle(candidate)
 		}
 		candidate.since = now // bytes of its next request are unread in the socket, so it is not idle
--- a/internal/proxy/upstream/reuse_test.go
+++ b/internal/proxy/upstream/reuse_test.go
@@ -141,7 +141,7 @@
 				nettest.Until(t, "it has arrived", func() bool {
 					p.mu.Lock()
 					defer p.mu.Unlock()
-					return c.next == nil || !c.netConn.Still()
+					return c.next == nil || !c.netConn.SocketQuiet()
 				})
 				p.mu.Lock()
 			}
