--- a/internal/bodybudget/bodybudget.go
+++ b/internal/bodybudget/bodybudget.go
@@ -1,15 +1,17 @@
-// Package bodybudget bounds the memory that bodies of messages take, over all connections of the process.
-// Who buffers a body reserves the memory first; who gets none forwards the body as a stream instead, so
-// nobody waits for another's release. All methods are safe for concurrent use.
+// Package bodybudget bounds the memory that message bodies take over all connections of the process. A
+// connection reserves memory before it buffers a body. If the budget is exhausted, it forwards the body as a
+// stream instead, so no connection waits until another releases memory. All methods of Budget are safe for
+// concurrent use.
 package bodybudget
 
 import "sync/atomic"
 
-// ChunkSize is how many bytes of a body a transfer moves at a time, where the budget has them.
+// ChunkSize is the buffer size of a transfer in bytes, where the budget allows it.
 const ChunkSize = 16 << 10
 
-// fallbackChunkSize is the buffer of a transfer where the budget is spent, in bytes. It is not counted: the
-// number of connections bounds it, and it is little beside what they take.
+// fallbackChunkSize is the buffer size of a transfer in bytes where the budget is exhausted. These buffers do
+// not count against the budget: the number of connections bounds them, and they are small beside the other
+// memory of a connection.
 const fallbackChunkSize = 2 << 10
 
 // Budget counts the bytes that bodies have reserved against a limit.
@@ -18,17 +20,17 @@
 	used  atomic.Int64
 }
 
-// NewBudget returns a budget of so many bytes.
+// NewBudget returns a budget with a limit of the given number of bytes.
 func NewBudget(bytes int64) *Budget {
 	b := &Budget{}
 	b.Resize(bytes)
 	return b
 }
 
-// Resize changes the limit, in bytes; what is reserved stays reserved.
+// Resize changes the limit to the given number of bytes. Existing reservations remain.
 func (b *Budget) Resize(bytes int64) { b.limit.Store(bytes) }
 
-// Reserve reserves n bytes; it returns false, and reserves none, where the limit does not allow them all.
+// Reserve reserves n bytes. It returns false and reserves nothing if that would exceed the limit.
 func (b *Budget) Reserve(n int) bool {
 	if b.used.Add(int64(n)) > b.limit.Load() {
 		b.used.Add(int64(-n))
@@ -37,13 +39,13 @@
 	return true
 }
 
-// Release returns n bytes that were reserved.
+// Release releases n reserved bytes.
 func (b *Budget) Release(n int) { b.used.Add(int64(-n)) }
 
-// Used is how many bytes are reserved.
+// Used returns how many bytes are reserved.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
-// Buffer returns a buffer for a transfer, and the function that releases it.
+// Buffer returns a buffer for a transfer, and the function that releases its reservation.
 func (b *Budget) Buffer() ([]byte, func()) {
 	if !b.Reserve(ChunkSize) {
 		return make([]byte, fallbackChunkSize), func() {}
--- a/internal/bodybudget/bodybudget_test.go
+++ b/internal/bodybudget/bodybudget_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// What is reserved never exceeds the limit, and all that is released can be reserved again.
+// Reservations never exceed the limit, releases restore the budget, and Resize applies to later reservations.
 func TestReservationsStayWithinTheLimit(t *testing.T) {
 	b := NewBudget(3 * ChunkSize)
 	for i := range 5 {
-		room, give := b.Buffer()
-		if (len(room) == ChunkSize) != (i < 3) {
-			t.Errorf("transfer %d works with %d bytes", i, len(room))
+		buffer, release := b.Buffer()
+		if (len(buffer) == ChunkSize) != (i < 3) {
+			t.Errorf("transfer %d has a buffer of %d bytes", i, len(buffer))
 		}
 		defer func() {
-			if give(); i == 0 && b.Used() != 0 { // the first is the last to give back
-				t.Errorf("%d bytes stay taken", b.Used())
+			if release(); i == 0 && b.Used() != 0 { // the first buffer is released last
+				t.Errorf("%d bytes remain reserved", b.Used())
 			}
 		}()
 	}
 	b.Resize(4 * ChunkSize)
 	if !b.Reserve(ChunkSize) || b.Reserve(1) {
-		t.Error("the new limit does not hold")
+		t.Error("the new limit is not applied")
 	}
 	b.Release(ChunkSize)
 }
@@ -46,13 +46,13 @@
 			buffer[0]++
 		}
 		if name == "known length" {
-			continue // complete, so nobody asks for more
+			continue // the body is complete, so Grow is not called again
 		}
-		if after, ok := r.Grow(buffer); ok || len(after) != len(buffer) || int(buffer[0]) != len(c.want) {
-			t.Errorf("%s: grew to %d bytes, or lost what was there", name, len(after))
+		if grown, ok := r.Grow(buffer); ok || len(grown) != len(buffer) || int(buffer[0]) != len(c.want) {
+			t.Errorf("%s: grew to %d bytes, or lost its content", name, len(grown))
 		}
 		if b.Used() != int64(r.Bytes()) || r.Bytes() != len(buffer) {
-			t.Errorf("%s: %d bytes taken, %d reserved, %d buffered", name, b.Used(), r.Bytes(), len(buffer))
+			t.Errorf("%s: %d bytes used, %d reserved, %d buffered", name, b.Used(), r.Bytes(), len(buffer))
 		}
 	}
 }
--- a/internal/bodybudget/reservation.go
+++ b/internal/bodybudget/reservation.go
@@ -1,52 +1,54 @@
 package bodybudget
 
 const (
-	// initialReservation is what is reserved first for a body of unknown length, in bytes.
+	// initialReservation is how many bytes are reserved first for a body of unknown length.
 	initialReservation = 2 << 10
-	// LargeBodyStart is how many bytes of a body beyond the maximum are buffered: one whose stated length is
-	// wrong often ends earlier, and then nothing has been passed on.
+	// LargeBodyStart is how many bytes are buffered of a body that is longer than the maximum. A body whose
+	// stated length is wrong often ends within them, and then no part of it has been forwarded.
 	LargeBodyStart = 4 << 10
 )
 
-// Reservation is the memory of one body that is buffered while it arrives: all of one whose length is known,
-// a buffer that doubles for one of unknown length, and the start of one beyond the maximum.
+// Reservation is the memory for one body that is buffered while it arrives. It has the size of the body if
+// the length is known, doubles as needed if it is not, and covers only the start of a body longer than the
+// maximum. It is not safe for concurrent use.
 type Reservation struct {
-	budget *Budget
-	max    int
-	large  bool // the length is known and beyond the maximum
-	size   int  // of the buffer after the next Grow
-	taken  int  // bytes reserved
+	budget   *Budget
+	maxBytes int  // most bytes of the body to buffer
+	large    bool // the length is known and exceeds maxBytes
+	nextSize int  // bytes of the buffer after the next Grow
+	reserved int  // bytes reserved
 }
 
-// Reservation returns an empty reservation for a body of length bytes, -1 where that is not known, of which
-// at most maxBytes are buffered.
-func (b *Budget) Reservation(length int64, max int) Reservation {
-	r := Reservation{budget: b, max: max, large: length > int64(max), size: initialReservation}
+// Reservation returns an empty reservation for a body of length bytes, or of unknown length if that is -1. At
+// most maxBytes of the body are buffered.
+func (b *Budget) Reservation(length int64, maxBytes int) Reservation {
+	r := Reservation{budget: b, maxBytes: maxBytes, large: length > int64(maxBytes),
+		nextSize: initialReservation}
 	switch {
 	case r.large:
-		r.size = LargeBodyStart
+		r.nextSize = LargeBodyStart
 	case length >= 0:
-		r.size = int(length)
+		r.nextSize = int(length)
 	}
 	return r
 }
 
-// Grow returns a longer buffer that begins with what is in the present one, which is full; false, with the
-// present one, where no more of the body is buffered.
+// Grow returns a longer buffer that begins with the content of the given one, which is full. It returns the
+// given buffer and false if no more of the body is to be buffered or the budget is exhausted.
 func (r *Reservation) Grow(buffer []byte) ([]byte, bool) {
 	n := len(buffer)
 	if n > 0 {
-		r.size = min(2*n, r.max)
+		r.nextSize = min(2*n, r.maxBytes)
 	}
-	if n == r.max || r.large && n == LargeBodyStart || !r.budget.Reserve(r.size-n) {
+	if n == r.maxBytes || r.large && n == LargeBodyStart || !r.budget.Reserve(r.nextSize-n) {
 		return buffer, false
 	}
-	r.taken += r.size - n
-	return append(make([]byte, 0, r.size), buffer...)[:r.size], true
+	r.reserved += r.nextSize - n
+	return append(make([]byte, 0, r.nextSize), buffer...)[:r.nextSize], true
 }
 
 // Large reports whether the body is known to be longer than the maximum.
 func (r *Reservation) Large() bool { return r.large }
 
-// Bytes returns how many bytes are reserved; Budget.Release releases them.
-func (r *Reservation) Bytes() int { return r.taken }
+// Bytes returns how many bytes are reserved. The caller releases them with Budget.Release.
+func (r *Reservation) Bytes() int { return r.reserved }
