--- a/internal/acceptloop/acceptloop.go
+++ b/internal/acceptloop/acceptloop.go
@@ -1,7 +1,7 @@
-// Package acceptloop accepts connections until a listener closes, whatever fails meanwhile. A process that
-// is short of descriptors or memory, or whose client has disconnected while it was in the backlog, fails to
-// accept one connection; a loop that ended at that would make the process unreachable until it is
-// restarted.
+// Package acceptloop accepts connections until a listener closes, and retries after every other error. Accept
+// fails for a single connection if the process is short of descriptors or memory, or if the client has
+// disconnected while its connection was in the backlog. A loop that ended at such an error would make the
+// process unreachable until it is restarted.
 package acceptloop
 
 import (
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// The backoff after failures doubles within these bounds, as descriptors may become free at any moment.
+// The backoff doubles with each consecutive failure, within these bounds. They are short because
+// descriptors may become free at any moment.
 const (
 	minBackoff = 5 * time.Millisecond
 	maxBackoff = 100 * time.Millisecond
 )
 
 // Run calls handle with each connection until the listener closes, and then returns net.ErrClosed. It calls
-// onError, which may be nil, with each failure. Both are called by Run's goroutine, which accepts no
-// further connection meanwhile.
+// onError, unless that is nil, with each other error of Accept. Both functions run in Run's goroutine, which
+// accepts no further connection until they return.
 func Run(listener net.Listener, onError func(error), handle func(net.Conn)) error {
 	backoff := minBackoff
 	for {
