--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,11 +1,11 @@
 // Package invariant checks at run time that the invariants of the router fleet hold.
 //
-// Code calls Assert where it is about to act, with a condition computed from state kept apart from the
-// logic that is to ensure it, so that a fault of that logic is noticed. A violation changes nothing in what
-// the program does: it is counted, for the metrics, and reported to the handler, which logs it. In tests the
-// handler panics.
+// Code calls Assert before it acts, with a condition computed from state that is independent of the logic
+// that has to ensure the invariant, so that a fault of that logic is noticed. A violation does not change
+// what the program does: it is counted, for the metrics, and reported to the handler, which logs it. In tests
+// the handler panics.
 //
-// All functions may be called by any goroutine. An assertion that holds costs a comparison and allocates
+// All functions are safe for concurrent use. An assertion that holds costs a comparison and allocates
 // nothing beyond its variadic arguments.
 package invariant
 
@@ -26,9 +26,9 @@
 	// RejectedNeverRan: status 408, 421, 429 and 503 are given only to requests that have not run and can't run
 	// any more.
 	RejectedNeverRan
-	// StreamIDsRise: the ids of the events that a client receives rise.
+	// StreamIDsRise: the ids of the events that a client receives increase.
 	StreamIDsRise
-	// HandleOfOwnRequest: a decode server receives only the handle of a prefix of the very request.
+	// HandleOfOwnRequest: a decode server receives only the handle of a prefix of the same request.
 	HandleOfOwnRequest
 	// AttemptsWithinRoute: a request is sent to no more servers than its route allows.
 	AttemptsWithinRoute
@@ -36,7 +36,7 @@
 	ConnectionOfServer
 	// CountsNotNegative: nothing is released that was not acquired.
 	CountsNotNegative
-	// ConfigVersionRises: the version of the configuration in use rises while a process runs.
+	// ConfigVersionRises: the version of the configuration in use increases while a process runs.
 	ConfigVersionRises
 	// ReadsNotOlder: no read of the configuration returns an older version than this process has returned or
 	// acknowledged before.
@@ -45,15 +45,17 @@
 	CommittedSequenceRises
 	// EnoughReplicas: a change is acknowledged only by a chain of a majority of the replicas.
 	EnoughReplicas
-	// FenceRises: the fencing tokens under which a process sends orders rise, and it holds each when it uses it.
+	// FenceRises: the fencing tokens with which a process sends orders never decrease, and the process holds a
+	// token when it uses it.
 	FenceRises
-	// EndedStaysEnded: the incarnation of a server that has left does not return to the table.
+	// EndedStaysEnded: an incarnation of a server that has ended does not return to the directory.
 	EndedStaysEnded
 
 	checkCount // number of checks
 )
 
-// checkNames are stable: metrics and logs carry them, in part under earlier terms.
+// checkNames must not change, because metrics and logs contain them. Some use earlier terms for their
+// subject.
 var checkNames = [checkCount]string{
 	OneFinalAnswer:         "one_final_answer",
 	UnsafeSentOnce:         "unsafe_sent_once",
@@ -85,7 +87,7 @@
 	return fmt.Sprintf("invariant %s: %s; report it with the log of this process", e.Check, e.Detail)
 }
 
-// Handler is called for each violation, by the goroutine that noticed it.
+// Handler is called for each violation, in the goroutine that called Assert.
 type Handler func(*ViolationError)
 
 var (
@@ -93,14 +95,14 @@
 	handler atomic.Pointer[Handler]
 )
 
-// SetHandler replaces the handler of the whole program. Without one, violations are only counted.
+// SetHandler replaces the handler of the process. Without one, violations are only counted.
 func SetHandler(h Handler) { handler.Store(&h) }
 
 // PanicOnViolation makes each violation panic. Tests call it.
 func PanicOnViolation() { SetHandler(func(violation *ViolationError) { panic(violation) }) }
 
-// Assert counts and reports a violation of a check unless the condition holds. The detail is formatted only
-// then.
+// Assert counts and reports a violation of a check if the condition is false. Only then is the detail
+// formatted.
 func Assert(condition bool, check Check, format string, args ...any) {
 	if condition {
 		return
@@ -111,7 +113,7 @@
 	}
 }
 
-// ViolationCount says how often a check was violated since the program started.
+// ViolationCount is how often a check was violated since the process started.
 type ViolationCount struct {
 	Check      Check
 	Violations int64
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestViolationsAreCountedAndReported: a false condition is counted and reported to the handler, a true one
-// is not.
+// TestViolationsAreCountedAndReported checks that a false condition is counted and reported to the handler,
+// and that a true one is not.
 func TestViolationsAreCountedAndReported(t *testing.T) {
 	c := qt.New(t)
 	var reported []string
@@ -24,7 +24,7 @@
 	c.Assert(violate, qt.PanicMatches, ".*enough_replicas: too few.*")
 }
 
-// TestEachCheckHasAName: the names are not empty and differ.
+// TestEachCheckHasAName checks that the names are not empty and differ.
 func TestEachCheckHasAName(t *testing.T) {
 	seen := map[string]bool{}
 	for _, count := range Counts() {
