--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,9 @@
-// Package metrics has the counters and histograms of a program, and writes them in the text format of
-// Prometheus.
+// Package metrics provides counters and histograms, and writes them in the Prometheus text format.
 //
-// A client library is not used because it would bring an HTTP server and a registry, which cost each process
-// more memory than all its metrics together. There is no registry here: an owner keeps its metrics as fields
-// and adds them to a Page when one is asked for. Counters, families and histograms may be used by any
-// goroutine; a Page by one.
+// It does not use a client library, which would bring an HTTP server and a registry and so cost each process
+// more memory than all its metrics together. There is no registry here: each component keeps its metrics as
+// fields and adds them to a Page on each scrape. Counter, CounterFamily and Histogram are safe for concurrent
+// use; a Page is not.
 package metrics
 
 import (
@@ -13,7 +12,7 @@
 	"time"
 )
 
-// Label qualifies a metric.
+// Label is one label of a metric.
 type Label struct{ Name, Value string }
 
 // Counter counts up from 0. The zero value is ready for use.
@@ -30,11 +29,11 @@
 type CounterFamily struct {
 	mu       sync.Mutex
 	counters map[string]*Counter // by rendered labels
-	keys     []string            // of counters, in the order in which they were first used
+	keys     []string            // keys of counters, in the order of their first use
 }
 
-// With returns the counter for a set of labels. The values must come from a small, fixed set, because
-// counters are never removed.
+// With returns the counter for a set of labels, and creates it on first use. The values must come from a
+// small, fixed set, because counters are never removed.
 func (f *CounterFamily) With(labels ...Label) *Counter {
 	key := renderLabels(labels)
 	f.mu.Lock()
@@ -62,17 +61,18 @@
 	return total
 }
 
-// histogramBounds are the inclusive upper bounds of a Histogram's buckets; one more bucket has no bound.
+// histogramBounds are the inclusive upper bounds of a Histogram's buckets; a further bucket has none.
 var histogramBounds = [...]time.Duration{
 	time.Millisecond, 2500 * time.Microsecond, 5 * time.Millisecond, 10 * time.Millisecond,
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond,
 	500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second, 10 * time.Second,
 }
 
-// Histogram counts durations in buckets from 1 ms to 10 s. The zero value is ready for use.
+// Histogram counts durations in buckets with upper bounds from 1 ms to 10 s, and one without. The zero value
+// is ready for use.
 type Histogram struct {
-	buckets [len(histogramBounds) + 1]atomic.Int64
-	sum     atomic.Int64 // nanoseconds
+	buckets [len(histogramBounds) + 1]atomic.Int64 // counts of each bucket alone, not cumulative
+	sum     atomic.Int64                           // nanoseconds
 }
 
 // Observe counts one duration.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestPageFollowsTheTextFormat: one description for each name, escaped values, and cumulative buckets.
+// TestPageFollowsTheTextFormat checks that a Page describes each name once, escapes label values, and writes
+// cumulative buckets.
 func TestPageFollowsTheTextFormat(t *testing.T) {
 	c := qt.New(t)
 	var family CounterFamily
--- a/internal/metrics/page.go
+++ b/internal/metrics/page.go
@@ -8,14 +8,14 @@
 // ContentType is the media type of a Page.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Page collects metrics as text. Metrics of one name have to be added one after the other. The zero value is
-// an empty page.
+// Page collects metrics as text. All samples of one name have to be added consecutively, so that the name is
+// described once. The zero value is an empty page.
 type Page struct {
 	text     []byte
-	lastName string // the last name that was described
+	lastName string // name of the metric that was described last
 }
 
-// Text returns the page.
+// Text returns the page in the text format.
 func (p *Page) Text() []byte { return p.text }
 
 // Counter adds a value that only rises while the process runs.
@@ -49,7 +49,7 @@
 	}
 }
 
-// Histogram adds a histogram, in seconds. Its buckets are cumulative, as the format requires.
+// Histogram adds a histogram in seconds, with cumulative buckets, as the format requires.
 func (p *Page) Histogram(name, help string, h *Histogram) {
 	p.describe(name, help, "histogram")
 	var count int64
@@ -65,7 +65,7 @@
 	p.sample(name+"_count", "", strconv.FormatInt(count, 10))
 }
 
-// describe writes the help and type of a name, once for all samples that follow each other.
+// describe writes the HELP and TYPE lines of a name, once for consecutive samples of the same name.
 func (p *Page) describe(name, help, kind string) {
 	if p.lastName == name {
 		return
@@ -80,7 +80,7 @@
 
 func formatFloat(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
 
-// renderLabels returns labels in the form in which they follow a name.
+// renderLabels returns labels in the form in which they follow the name of a metric.
 func renderLabels(labels []Label) string {
 	if len(labels) == 0 {
 		return ""
@@ -98,7 +98,8 @@
 	return string(append(text, '}'))
 }
 
-// appendEscaped appends the value of a label with the three escapes of the format.
+// appendEscaped appends a label value, with line feeds, quotes and backslashes escaped as the format
+// requires.
 func appendEscaped(text []byte, value string) []byte {
 	for i := range len(value) {
 		switch c := value[i]; c {
