--- a/internal/jsondoc/decode.go
+++ b/internal/jsondoc/decode.go
@@ -8,13 +8,13 @@
 	"io"
 )
 
-// The bounds of a document. Decoding takes a stack frame for each level and some hundred bytes for each
-// value, so that without bounds one small request could exhaust a process.
+// Bounds of a document. Decoding takes a stack frame for each level of nesting and some hundred bytes for
+// each value, so without bounds one small request could exhaust the memory of the process.
 const (
-	// MaxValues is how many values a document may have, objects and lists included: those of a configuration
+	// MaxValues is how many values a document may have, objects and lists included. It admits a configuration
 	// with 30,000 routes.
 	MaxValues = 400_000
-	maxDepth  = 64
+	maxDepth  = 64 // levels of nested objects and lists
 )
 
 // decoder decodes one document into map[string]any, []any and the scalar types of encoding/json.
@@ -41,7 +41,8 @@
 	return object, d.valueCount, nil
 }
 
-// decodeValue decodes the next value. The path, which ends with a dot unless it is empty, names it in errors.
+// decodeValue decodes the next value. Errors name its fields by path, which ends with a dot unless it is
+// empty.
 func (d *decoder) decodeValue(path string) (any, error) {
 	token, err := d.tokens.Token()
 	if err != nil {
@@ -86,7 +87,7 @@
 		}
 		name := token.(string)
 		if _, duplicate := object[name]; duplicate {
-			return nil, fmt.Errorf("the field %q stands twice in one object", path+name)
+			return nil, fmt.Errorf("the field %q occurs twice in one object", path+name)
 		}
 		if object[name], err = d.decodeValue(path + name + "."); err != nil {
 			return nil, err
@@ -96,7 +97,8 @@
 	return object, unexpectedEOF(err)
 }
 
-// unexpectedEOF replaces io.EOF, which json.Decoder.Token returns wherever the input ends.
+// unexpectedEOF replaces io.EOF, which json.Decoder.Token returns also where the input ends inside a value,
+// with io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/jsondoc/document.go
+++ b/internal/jsondoc/document.go
@@ -1,4 +1,4 @@
-// Package jsondoc reads values from a JSON document by their path and collects every fault on the way, so
+// Package jsondoc reads values from a JSON document by their path and records each fault that it finds, so
 // that all faults of a document can be reported at once.
 //
 // Parse decodes a document; the methods of Node read its values:
@@ -9,9 +9,10 @@
 //	return document.Err()
 //
 // A method that finds a value of the wrong type, or none where one is required, records a Problem and returns
-// a zero value or a fallback, so that reading goes on. Document.Err then returns a *ValidationError.
+// a zero value or a fallback, so that the caller can go on reading. Document.Err then returns a
+// *ValidationError.
 //
-// A Document and its Nodes are used by one goroutine.
+// A Document and its Nodes are not safe for concurrent use.
 package jsondoc
 
 import (
@@ -30,8 +31,8 @@
 
 // Parse decodes a document that consists of one object. Its error is a *ValidationError. It rejects text
 // after the object and objects that name a field twice, because two readers could interpret such a document
-// differently, and documents with more than MaxValues values or too deep a nesting, because decoding them
-// could take more memory than the process has.
+// differently, and documents with more than MaxValues values or too many levels of nesting, because decoding
+// them could take more memory than the process has.
 func Parse(raw []byte) (*Document, error) {
 	root, valueCount, err := decode(raw)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return &ValidationError{d.problems}
 }
 
-// Node is a value of a document, or the place where one is absent. A null counts as absent.
+// Node is a value of a document, or a path at which the document has no value. A null counts as absent.
 type Node struct {
 	document *Document
 	value    any
@@ -73,7 +74,8 @@
 	n.document.problems = append(n.document.problems, Problem{n.path, reason, remedy})
 }
 
-// Get returns a field of an object. It is absent if the object is, or if the value is no object.
+// Get returns a field of an object. The field is absent if the object is absent or the value is not an
+// object.
 func (n Node) Get(name string) Node {
 	path := name
 	if n.path != "" {
@@ -86,7 +88,7 @@
 	return child
 }
 
-// FieldNames returns the names of an object's fields, sorted; none if it is absent.
+// FieldNames returns the sorted names of an object's fields, none if the object is absent.
 func (n Node) FieldNames() []string {
 	if !n.Present() {
 		return nil
@@ -99,7 +101,7 @@
 	return slices.Sorted(maps.Keys(object))
 }
 
-// Items returns the elements of a list; none if it is absent.
+// Items returns the elements of a list, none if the list is absent.
 func (n Node) Items() []Node {
 	if !n.Present() {
 		return nil
@@ -117,8 +119,8 @@
 	return items
 }
 
-// TextFields returns the fields of an object that are strings, by their names. It records no fault: fields of
-// other types are ignored, and what is absent or no object has no fields.
+// TextFields returns the fields of an object that are strings, by name. It records no faults: it ignores
+// fields of other types, and returns no fields if the value is absent or not an object.
 func (n Node) TextFields() map[string]string {
 	fields := map[string]string{}
 	object, _ := n.value.(map[string]any)
@@ -139,7 +141,7 @@
 	return text
 }
 
-// TextOr returns a string, or the fallback if it is absent.
+// TextOr returns a string, or the fallback if the value is absent.
 func (n Node) TextOr(fallback string) string {
 	if !n.Present() {
 		return fallback
@@ -160,27 +162,28 @@
 	return n.NumberOr(0, minimum)
 }
 
-// NumberOr returns a finite number that is not below the minimum, or the fallback if it is absent.
+// NumberOr returns a finite number that is not below the minimum, or the fallback. It records a fault
+// if the value is present but not such a number.
 func (n Node) NumberOr(fallback, minimum float64) float64 {
 	if !n.Present() {
 		return fallback
 	}
 	number, ok := n.value.(float64)
 	if !ok || math.IsNaN(number) || math.IsInf(number, 0) || number < minimum {
-		n.Reject("is not such a number", fmt.Sprintf("give a number of %g or more", minimum))
+		n.Reject("is not a valid number", fmt.Sprintf("give a number of %g or more", minimum))
 		return fallback
 	}
 	return number
 }
 
-// Bool returns a boolean, false if it is absent.
+// Bool returns a boolean, or false if the value is absent.
 func (n Node) Bool() bool {
 	if !n.Present() {
 		return false
 	}
 	value, ok := n.value.(bool)
 	if !ok {
-		n.Reject("is not a truth value", "give true or false")
+		n.Reject("is not a boolean", "give true or false")
 	}
 	return value
 }
--- a/internal/jsondoc/document_test.go
+++ b/internal/jsondoc/document_test.go
@@ -9,10 +9,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestDeepNestingIsRejected sends what would exhaust the memory of a process if each level took a stack
-// frame.
+// TestDeepNestingIsRejected parses documents whose nesting, if it were not bounded, would exhaust the
+// memory of the process, because each level takes a stack frame.
 func TestDeepNestingIsRejected(t *testing.T) {
-	const size = 8 << 20 // the largest body of a control call
+	const size = 8 << 20 // bytes of the largest body that the control API accepts
 	for name, level := range map[string]string{"lists": "[", "objects": `{"a":`} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestManyValuesAreRejected sends as many values as fit a body, each of which takes far more memory than
-// bytes.
+// TestManyValuesAreRejected parses documents with as many values as fit a request body. Each value takes far
+// more memory when decoded than bytes in the document.
 func TestManyValuesAreRejected(t *testing.T) {
 	for name, value := range map[string]string{"numbers": "1,", "lists": "[],", "objects": "{},"} {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// FuzzParse expects any bytes to be parsed or to be rejected with a Problem, and never to end the process.
+// FuzzParse checks that Parse accepts any input or rejects it with a Problem, and never crashes.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		`{"a":[1,{"b":null}],"c":"d"}`, `{"a":1,"a":2}`, `[`, `{"a":1e999}`, `{} x`, "\x00",
--- a/internal/jsondoc/errors.go
+++ b/internal/jsondoc/errors.go
@@ -4,9 +4,9 @@
 
 // Problem is one fault of a document.
 type Problem struct {
-	Field  string // the path of the value, for example routes[2].timeout_ms
-	Reason string // what is wrong with it
-	Remedy string // what would be accepted
+	Field  string // path of the value, for example routes[2].timeout_ms
+	Reason string // what is wrong with the value
+	Remedy string // which value would be accepted
 }
 
 func (p Problem) String() string { return p.Field + ": " + p.Reason + "; " + p.Remedy }
