--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -135,7 +135,7 @@
 		{"after an interim response", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n",
 			&Response{Status: 204}, "<nil>"},
 		{"nothing", "", nil, "unexpected EOF"},
-		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na", nil, "unexpected EOF"},
+		{"cut", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na", nil, "unexpected EOF"},
 		{"truncated chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n", nil,
 			"unexpected EOF"},
 		{"no status", "HTTP/1.1 OK\r\n\r\n", nil, "400"},
