--- a/internal/proxy/upstream/reuse_test.go
+++ b/internal/proxy/upstream/reuse_test.go
@@ -153,7 +153,7 @@
 				nettest.Until(t, "the bytes have arrived", func() bool {
 					p.mu.Lock()
 					defer p.mu.Unlock()
-					return c.next == nil || !c.netConn.Still()
+					return c.next == nil || !c.netConn.SocketQuiet()
 				})
 				p.mu.Lock()
 			}
