--- a/internal/proxy/logging/limiter.go
+++ b/internal/proxy/logging/limiter.go
@@ -13,7 +13,7 @@
 	repeats *repeatLimiter
 }
 
-// Handle passes a record on with the number of those dropped before it, or drops it.
+// Handle passes a record on with the number of records dropped before it, or drops it.
 func (h *limitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	dropped, ok := h.repeats.allow(r.Message, r.Time)
 	if !ok {
@@ -25,28 +25,29 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-// WithAttrs returns a handler that shares the limits.
+// WithAttrs returns a handler with attributes that shares the limits.
 func (h *limitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &limitedHandler{h.Handler.WithAttrs(attrs), h.repeats}
 }
 
-// WithGroup returns a handler that shares the limits.
+// WithGroup returns a handler for a group that shares the limits.
 func (h *limitedHandler) WithGroup(name string) slog.Handler {
 	return &limitedHandler{h.Handler.WithGroup(name), h.repeats}
 }
 
-// repeatLimiter limits records by their message. Messages are constants of the program, so there are few;
-// where one is composed by mistake, maxMessages bounds the memory.
+// repeatLimiter limits the rate of records with the same message. Messages are constants of the program, so
+// there are few; maxMessages bounds the memory in case one is formatted at run time by mistake.
 type repeatLimiter struct {
 	mu      sync.Mutex
-	rate    float64 // records a second of each message; 0 is no limit
+	rate    float64 // records per second of each message; 0 is no limit
 	buckets map[string]*bucket
 }
 
-// maxMessages bounds the messages that are counted; beyond it all counts begin again.
+// maxMessages bounds the number of token buckets; a new message beyond it resets all of them.
 const maxMessages = 512
 
-// bucket is the token bucket of one message: it gains rate tokens a second and holds as many.
+// bucket is the token bucket of one message: it gains repeatLimiter.rate tokens per second
+// and holds as many, but at least 1.
 type bucket struct {
 	tokens     float64
 	refilledAt time.Time
@@ -55,7 +56,7 @@
 
 func newRepeatLimiter() *repeatLimiter { return &repeatLimiter{buckets: map[string]*bucket{}} }
 
-// setRate changes the records a second of each message.
+// setRate sets the limit of records per second of each message.
 func (r *repeatLimiter) setRate(rate float64) {
 	r.mu.Lock()
 	r.rate = rate
@@ -88,8 +89,8 @@
 	return dropped, true
 }
 
-// pending is how many records were dropped and not reported yet.
-func (r *repeatLimiter) pending() (n int64) {
+// unreportedDrops returns how many dropped records no written record has reported yet.
+func (r *repeatLimiter) unreportedDrops() (n int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range r.buckets {
--- a/internal/proxy/logging/logging.go
+++ b/internal/proxy/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging makes the proxy's logger: log/slog in text or JSON, with one vocabulary of attributes, a
-// rate limit on records with the same message, and a writer that never blocks on the reader of the log:
-// beyond a backlog, records are dropped and counted.
+// Package logging provides the proxy's logger: log/slog in text or JSON, with a common set of attribute
+// names, a rate limit on records with the same message, and a writer that never blocks on the reader of the
+// log: beyond a backlog, records are dropped and counted.
 //
 // Loggers and request logs may be used from any goroutine.
 package logging
@@ -14,7 +14,7 @@
 	"cresshub/internal/logwriter"
 )
 
-// The names of attributes: the same thing has the same name in every record. Scripts read them.
+// Names of attributes, the same in every record. Operators' scripts parse them.
 const (
 	Name    = "name"    // name of this instance
 	Request = "request" // id of a request
@@ -27,19 +27,19 @@
 	Status  = "status"
 	Address = "address"
 	Err     = "err"
-	Dropped = "dropped" // records with the same message left out since the last one
-	Lost    = "lost"    // records lost because nobody read the log
+	Dropped = "dropped" // records with the same message dropped since the last one
+	Lost    = "lost"    // records lost because the log was not read in time
 )
 
-// formatJSON is the Format of records in JSON; any other is text.
+// formatJSON is the value of Options.Format for JSON; any other value means text.
 const formatJSON = "json"
 
-// Options are how a logger writes. SetLimits changes Level and RepeatRate while it is in use.
+// Options configure a logger. SetLimits changes Level and RepeatRate while the logger is in use.
 type Options struct {
 	Format     string     // "text" or "json"
-	Level      slog.Level // lowest that is written
-	RepeatRate float64    // records a second with the same message; 0 is no limit
-	Backlog    int        // bytes kept while nobody reads the log
+	Level      slog.Level // lowest level that is written
+	RepeatRate float64    // records per second with the same message; 0 is no limit
+	Backlog    int        // bytes buffered while the log is not read
 }
 
 // Logger is a slog.Logger whose limits can be changed and that has to be closed.
@@ -50,7 +50,7 @@
 	writer  *logwriter.Writer
 }
 
-// New returns a logger that writes to w from a goroutine of its own. Close ends it.
+// New returns a logger that writes to w from a goroutine of its own, which Close stops.
 func New(w io.Writer, o Options) *Logger {
 	asJSON := o.Format == formatJSON
 	l := &Logger{repeats: newRepeatLimiter(), writer: logwriter.New(w, o.Backlog, lostRecord(asJSON))}
@@ -65,7 +65,7 @@
 	return l
 }
 
-// lostRecord returns what formats the record with the number of lost ones.
+// lostRecord returns the function that formats the record with the number of lost records.
 func lostRecord(asJSON bool) func(lost int64) string {
 	format := "level=WARN msg=%q %s=%d\n"
 	if asJSON {
@@ -76,7 +76,7 @@
 	}
 }
 
-// durationsAsText replaces durations, which JSON would have as numbers of nanoseconds, by text with a unit.
+// durationsAsText replaces durations, which JSON would encode as numbers of nanoseconds, by text with a unit.
 func durationsAsText(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindDuration {
 		a.Value = slog.StringValue(a.Value.Duration().String())
@@ -84,21 +84,21 @@
 	return a
 }
 
-// SetLimits changes the lowest level and the records a second with the same message.
+// SetLimits changes the lowest level and the limit of records per second with the same message.
 func (l *Logger) SetLimits(level slog.Level, repeatRate float64) {
 	l.level.Set(level)
 	l.repeats.setRate(repeatRate)
 }
 
-// Close writes what is left and ends the writer, within the timeout.
+// Close waits until the buffered records are written, at most for the timeout, and stops the writer.
 func (l *Logger) Close(timeout time.Duration) {
-	if n := l.repeats.pending(); n > 0 {
+	if n := l.repeats.unreportedDrops(); n > 0 {
 		l.Info("log: lines dropped at the end", Dropped, n)
 	}
 	l.writer.Close(timeout)
 }
 
-// ParseLevel returns the level of a name; an unknown name is info.
+// ParseLevel returns the level with a name; it is info for an unknown name.
 func ParseLevel(name string) slog.Level {
 	var level slog.Level
 	if level.UnmarshalText([]byte(name)) != nil {
--- a/internal/proxy/logging/logging_test.go
+++ b/internal/proxy/logging/logging_test.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// syncBuffer is a log that a test reads while it is written.
+// syncBuffer is a log that a test may read while it is written.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (p *syncBuffer) Write(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.b.Write(b)
+func (s *syncBuffer) Write(b []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.b.Write(b)
 }
 
-func (p *syncBuffer) lines() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return strings.Split(strings.TrimSpace(p.b.String()), "\n")
+func (s *syncBuffer) lines() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return strings.Split(strings.TrimSpace(s.b.String()), "\n")
 }
 
 // Records with the same message are limited, whatever their attributes; the next one has the number of those
 // that were dropped, and Close reports the rest. Other messages are not affected.
-func TestRepeatsAreBoundedAndCounted(t *testing.T) {
+func TestRepeatedRecordsAreLimitedAndDropsCounted(t *testing.T) {
 	var out syncBuffer
 	l := New(&out, Options{Format: "json", RepeatRate: 3, Backlog: 1 << 20})
 	for i := range 1000 {
@@ -57,9 +57,9 @@
 			other++
 		}
 	}
-	// A machine that stalls for seconds lets some more through; all are accounted for.
+	// More records are written if the machine stalls for seconds; each is either written or counted as dropped.
 	if written+dropped != 1000 || written > 100 || other != 1 {
-		t.Errorf("%d written, %d left out, %d others", written, dropped, other)
+		t.Errorf("%d written, %d dropped, %d others", written, dropped, other)
 	}
 }
 
@@ -78,17 +78,17 @@
 	}
 }
 
-func TestStalledReaderDelaysNobodyAndLossesAreCounted(t *testing.T) {
+func TestStalledReaderBlocksNoCallerAndLostRecordsAreCounted(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := New(w, Options{Format: "text", Backlog: 8 << 10})
-	const lines = 20000 // about 1 MB, and a pipe holds 64 KiB
-	for i := range lines {
-		l.Info("fact", "n", i) // would block for ever if it waited
+	const records = 20000 // about 1 MB, and a pipe holds 64 KiB
+	for i := range records {
+		l.Info("fact", "n", i) // would block forever if it waited for the reader
 	}
-	l.Close(time.Millisecond) // nor does the end wait
+	l.Close(time.Millisecond) // does not wait for the reader either
 	done := make(chan string)
 	go func() {
 		var b bytes.Buffer
@@ -101,17 +101,17 @@
 	lost := 0
 	for line := range strings.Lines(text) {
 		if _, n, ok := strings.Cut(line, Lost+"="); ok {
-			k := 0
-			fmt.Sscan(n, &k)
-			lost += k
+			count := 0
+			fmt.Sscan(n, &count)
+			lost += count
 		}
 	}
-	if got := strings.Count(text, "msg=fact"); got+lost != lines || lost == 0 {
-		t.Errorf("%d written and %d told as lost of %d", got, lost, lines)
+	if got := strings.Count(text, "msg=fact"); got+lost != records || lost == 0 {
+		t.Errorf("%d records written and %d reported as lost, of %d", got, lost, records)
 	}
 }
 
-func TestDurationsCarryTheirUnit(t *testing.T) {
+func TestDurationsAreWrittenWithAUnit(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		var out syncBuffer
 		l := New(&out, Options{Format: format, Backlog: 1 << 20})
@@ -123,16 +123,16 @@
 	}
 }
 
-func TestRequestLogKeepsToItsSampleAndRate(t *testing.T) {
+func TestRequestLogAppliesSampleAndRate(t *testing.T) {
 	if (*RequestLog)(nil).Allow() {
-		t.Error("one that is off wants a line")
+		t.Error("a disabled request log allows a record")
 	}
 	var out syncBuffer
 	l := New(&out, Options{Format: "text", RepeatRate: 1, Backlog: 1 << 20})
 	all := NewRequestLog(l.Logger, 1, 0)
 	for range 50 {
 		if !all.Allow() {
-			t.Fatal("a line is left out")
+			t.Fatal("a record is dropped with sample 1 and no rate limit")
 		}
 		all.Write(RequestEntry{Request: "id", Class: "lookup", Server: "zone-1", Attempts: 2, Outcome: "served",
 			Status: 200, Took: 1500 * time.Microsecond})
@@ -141,19 +141,19 @@
 	want := `msg=request request=id class=lookup tenant="" server=zone-1 attempt=2 outcome=served ` +
 		`status=200 took=1.5ms`
 	if got := out.lines(); len(got) != 50 || !strings.HasSuffix(got[0], want) {
-		t.Errorf("%d lines, %q", len(got), got[0])
+		t.Errorf("%d records, the first %q", len(got), got[0])
 	}
-	few, none := NewRequestLog(slog.New(slog.DiscardHandler), 1, 1), NewRequestLog(nil, 0, 0)
-	wanted := 0
+	limited, none := NewRequestLog(slog.New(slog.DiscardHandler), 1, 1), NewRequestLog(nil, 0, 0)
+	allowed := 0
 	for range 1000 {
-		if few.Allow() {
-			wanted++
+		if limited.Allow() {
+			allowed++
 		}
 		if none.Allow() {
-			t.Fatal("a part of 0 takes one")
+			t.Fatal("sample 0 allows a record")
 		}
 	}
-	if wanted == 0 || wanted > 100 { // one a second
-		t.Errorf("%d wanted", wanted)
+	if allowed == 0 || allowed > 100 { // the rate is one per second
+		t.Errorf("%d records allowed", allowed)
 	}
 }
--- a/internal/proxy/logging/requestlog.go
+++ b/internal/proxy/logging/requestlog.go
@@ -9,22 +9,23 @@
 	"golang.org/x/time/rate"
 )
 
-// The messages of records without a limit on repeats: those of requests have a limit of their own, and
-// counters are logged only where they are asked for.
+// Messages to which RepeatRate doesn't apply: records of requests have a limit of their own, and counters are
+// logged only on demand and at exit.
 const (
 	RequestMessage  = "request"
 	CountersMessage = "counters"
 )
 
-// RequestLog writes one record for each of a sample of requests. A nil one is off and costs a comparison.
+// RequestLog writes one record for each of a sample of requests. A nil RequestLog is disabled and costs one
+// comparison per request.
 type RequestLog struct {
 	log    *slog.Logger
 	sample float64
 	limit  *rate.Limiter
 }
 
-// NewRequestLog returns a log of the fraction sample of all requests, with at most perSecond records a
-// second; 0 is no limit.
+// NewRequestLog returns a log of a fraction, sample, of all requests, with at most perSecond records per
+// second; a perSecond of 0 is no limit.
 func NewRequestLog(log *slog.Logger, sample, perSecond float64) *RequestLog {
 	r := &RequestLog{log: log, sample: sample, limit: rate.NewLimiter(rate.Inf, 0)}
 	if perSecond > 0 {
@@ -42,7 +43,7 @@
 	Took                           time.Duration // from the request's last byte to the end of its response
 }
 
-// Allow decides by chance and by the rate whether the next request is logged.
+// Allow decides at random and by the rate limit whether the next request is logged.
 func (r *RequestLog) Allow() bool {
 	return r != nil && (r.sample >= 1 || rand.Float64() < r.sample) && r.limit.Allow()
 }
