--- a/internal/proxy/daemon/admin.go
+++ b/internal/proxy/daemon/admin.go
@@ -6,7 +6,7 @@
 	"cresshub/internal/proxy/adminapi"
 )
 
-// openAdmin opens the admin API's listener where `operator` names its address.
+// openAdmin opens the admin API's listener if its address, `operator`, is set.
 func (p *Proxy) openAdmin() error {
 	if p.cfg.Operator == "" {
 		return nil
@@ -19,8 +19,8 @@
 	return nil
 }
 
-// Ready reports whether the proxy serves clients and has a list of servers, and why not.
-func (p *Proxy) Ready() (ready bool, why string) {
+// Ready reports whether the proxy serves clients and has a list of servers, and if not, the reason.
+func (p *Proxy) Ready() (ready bool, reason string) {
 	switch {
 	case !p.server.Serving():
 		return false, "sending clients away"
@@ -32,18 +32,18 @@
 	return true, ""
 }
 
-// LameDuck begins or ends a drain, and has the fleet see it.
+// LameDuck begins or ends a drain and announces it to the fleet.
 func (p *Proxy) LameDuck(on bool) {
 	p.server.LameDuck(on)
 	p.setFleetPhase(on)
 }
 
-// Gauges returns the present values of gauges, by name. A draining server is listed and gets no requests, so
+// Gauges returns the current values of gauges, by name. A draining server is listed but gets no requests, so
 // it counts as skipped.
 func (p *Proxy) Gauges() map[string]int {
-	known := p.discovery.NumListed()
+	listed := p.discovery.NumListed()
 	return map[string]int{
-		"known_zone_servers":   known,
-		"skipped_zone_servers": known - p.discovery.NumInService() + p.decider.Ejected(),
+		"known_zone_servers":   listed,
+		"skipped_zone_servers": listed - p.discovery.NumInService() + p.decider.Ejected(),
 	}
 }
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -7,7 +7,7 @@
 // an operator to another) and shutting down (after SIGTERM or SIGINT, for good). Ready is true only while it
 // serves and has a list of servers.
 //
-// New and Run belong to one goroutine, which alone reads and replaces the present configuration. The admin
+// New and Run belong to one goroutine, which alone reads and replaces the current configuration. The admin
 // API calls Ready, LameDuck and Gauges, the handover's goroutines call the methods of handover.Incumbent, and
 // the decider calls Follow and Probe, each from goroutines of their own.
 package daemon
@@ -39,16 +39,16 @@
 	"cresshub/internal/stallclock"
 )
 
-// logCloseTimeout bounds how long Run waits at its end for whoever reads the log.
+// logCloseTimeout bounds how long Run waits at its end for the remaining log records to be written.
 const logCloseTimeout = 500 * time.Millisecond
 
 // Proxy is one client proxy with its parts.
 type Proxy struct {
-	cfg         *config.Config // in force now; only New and Run touch it
-	startConfig *config.Config // in force at the start: keys that need a restart keep its values
+	cfg         *config.Config // the current one; only New and Run use it
+	startConfig *config.Config // the one at the start: keys that need a restart keep its values
 
 	log       *logging.Logger
-	clock     *stallclock.Clock // of this process's stalls
+	clock     *stallclock.Clock // detects this process's stalls
 	stats     *stats.Set
 	decider   *dispatch.Decider
 	pool      *upstream.Pool
@@ -92,7 +92,7 @@
 // minLoggedStall is the shortest stall of this process that is logged.
 const minLoggedStall = time.Second
 
-// recordStall records that this process has run again after a stall.
+// recordStall counts a stall of this process that has ended, and logs it if it was long.
 func (p *Proxy) recordStall(length time.Duration) {
 	p.stats.Stalls.Inc()
 	if length >= minLoggedStall {
@@ -100,7 +100,7 @@
 	}
 }
 
-// newLogger returns a logger whose records have the instance's name.
+// newLogger returns a logger that adds the instance's name to every record.
 func newLogger(cfg *config.Config, w io.Writer) *logging.Logger {
 	log := logging.New(w, logging.Options{
 		Format: cfg.Log.Format, Level: logging.ParseLevel(cfg.Log.Level), RepeatRate: cfg.Log.RepeatRate,
@@ -110,7 +110,7 @@
 	return log
 }
 
-// wire makes the parts, each after those that it needs.
+// wire creates the components, each after those that it needs.
 func (p *Proxy) wire() error {
 	p.newUpstream()
 	if err := p.openLedger(); err != nil {
@@ -132,7 +132,8 @@
 	return p.runRoles()
 }
 
-// newUpstream makes what leads to the servers: the budgets, discovery and the connection pool.
+// newUpstream creates the budgets for descriptors and buffered bodies, the discovery client and the
+// connection pool.
 func (p *Proxy) newUpstream() {
 	cfg, settings := p.cfg, p.cfg.Settings()
 	p.budget = descriptors.NewBudget(p.descriptorLimit(), cfg.Limits.ClientFraction, cfg.Limits.CrowdedFraction)
@@ -143,7 +144,7 @@
 		p.stats)
 }
 
-// newIngress makes what serves clients.
+// newIngress creates the server for clients' connections and requests.
 func (p *Proxy) newIngress() {
 	settings := p.cfg.Settings()
 	p.server = ingress.New(ingress.Options{
@@ -156,37 +157,37 @@
 
 // restoreList gives the decider its first list of servers.
 func (p *Proxy) restoreList() error {
-	known := p.firstList()
-	if known == nil {
+	list := p.firstList()
+	if list == nil {
 		p.decider.RestoreList(nil)
 		return nil
 	}
-	servers, err := p.discovery.Restore(known)
+	servers, err := p.discovery.Restore(list)
 	if err != nil {
-		return fmt.Errorf("the list of known servers: %w", err)
+		return fmt.Errorf("restoring the server list: %w", err)
 	}
 	p.decider.RestoreList(servers)
 	return nil
 }
 
-// firstList returns the list of servers to begin with: the configuration's own [[server]] tables, else the
+// firstList returns the initial list of servers: the configuration's own [[server]] tables, else the
 // predecessor's list, which is newer than the platform's, else the platform's; nil if there is none.
 func (p *Proxy) firstList() json.RawMessage {
-	known := p.cfg.KnownServers
-	if old := p.handover.predecessor; old != nil && len(old.ServerList) > 0 {
-		if old.DiscoveryAddress == p.cfg.Discovery.Address {
-			known = old.ServerList
-		} else { // other servers, and indexes that can't be compared with this discovery's
-			p.log.Warn("handover: list of the old process ignored", "discovery", old.DiscoveryAddress)
+	list := p.cfg.KnownServers
+	if predecessor := p.handover.predecessor; predecessor != nil && len(predecessor.ServerList) > 0 {
+		if predecessor.DiscoveryAddress == p.cfg.Discovery.Address {
+			list = predecessor.ServerList
+		} else { // it lists other servers, and its indexes can't be compared with those of this discovery
+			p.log.Warn("handover: list of the old process ignored", "discovery", predecessor.DiscoveryAddress)
 		}
 	}
-	if list := p.cfg.ServerList(time.Time{}, p.firstNamed); list != nil {
-		known = list
+	if configured := p.cfg.ServerList(time.Time{}, p.firstNamed); configured != nil {
+		list = configured
 	}
-	return known
+	return list
 }
 
-// closeAfterFailedStart closes what New has opened.
+// closeAfterFailedStart closes the listeners, files and connections that New has opened.
 func (p *Proxy) closeAfterFailedStart() {
 	p.closeLedger()
 	if p.fleet != nil {
@@ -203,17 +204,17 @@
 	return (&net.ListenConfig{KeepAlive: -1, Control: control}).Listen(context.Background(), "tcp", address)
 }
 
-// Follow has discovery watched for changes of the list; the decider calls it.
+// Follow starts watching discovery for changes of the server list; the decider calls it.
 func (p *Proxy) Follow() { p.discovery.Follow() }
 
 // Probe asks a server for its load and reports the result to the decider, which calls it.
 func (p *Proxy) Probe(s dispatch.ServerID) {
-	p.pool.Probe(s, func(result dispatch.Result, took time.Duration, load []float64) {
-		p.decider.Probed(s, result, took, load)
+	p.pool.Probe(s, func(result dispatch.Result, latency time.Duration, load []float64) {
+		p.decider.Probed(s, result, latency, load)
 	})
 }
 
-// Address is where clients connect.
+// Address returns the address at which clients connect.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // Run serves until SIGTERM or SIGINT and returns once every accepted request has its response. On SIGHUP it
@@ -250,7 +251,7 @@
 			switch {
 			case sig == syscall.SIGUSR1:
 				p.stats.Log(p.log.Logger, "asked", dispatch.ResultNames)
-			case sig == syscall.SIGHUP: // also during a shutdown: requests under way still need the list
+			case sig == syscall.SIGHUP: // also during a shutdown: requests in flight still need the list
 				p.reload(reread())
 			case done == nil:
 				p.log.Info("proxy: shutting down", "signal", sig.String())
@@ -274,7 +275,7 @@
 	return done
 }
 
-// drainTimes are the times of a drain that begins or goes on now.
+// drainTimes returns the times of a drain that begins or is in progress now.
 func (p *Proxy) drainTimes() drain.Times {
 	configured := p.shutdownTimes.Load()
 	times := drain.Times{
@@ -291,7 +292,7 @@
 	return times
 }
 
-// requestLog returns the log of requests by the configuration, nil if requests are not logged.
+// requestLog returns the request log that the configuration asks for, nil if requests are not logged.
 func (p *Proxy) requestLog() *logging.RequestLog {
 	if !p.cfg.Log.Requests {
 		return nil
--- a/internal/proxy/daemon/fleet.go
+++ b/internal/proxy/daemon/fleet.go
@@ -10,10 +10,10 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// gossipTimeout bounds how long a change of this proxy's phase is waited for until gossip has spread it.
+// gossipTimeout bounds the wait until gossip has spread a change of this proxy's phase.
 const gossipTimeout = time.Second
 
-// joinFleet starts this proxy's membership of the fleet where fleet.bind names an address.
+// joinFleet makes this proxy a member of the fleet if fleet.bind is set.
 func (p *Proxy) joinFleet() error {
 	c := &p.cfg.Fleet
 	if c.Bind == "" {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// setFleetPhase announces to the fleet that this proxy drains or serves.
+// setFleetPhase announces to the fleet whether this proxy drains or serves.
 func (p *Proxy) setFleetPhase(draining bool) {
 	if p.fleet == nil {
 		return
--- a/internal/proxy/daemon/golden_ledger_page_test.go
+++ b/internal/proxy/daemon/golden_ledger_page_test.go
@@ -13,7 +13,7 @@
 	"cresshub/internal/cluster/raftgroup"
 )
 
-// The parts of /_ledger have golden files in their packages; these are the page's own names around them.
+// The parts of /_ledger have golden files in their own packages; these files cover the fields around them.
 func TestGoldenLedgerPagesAreReadAndWrittenByteForByte(t *testing.T) {
 	for name, want := range map[string]any{
 		"ledger-page.json": &LedgerPage{Group: raftgroup.Status{Group: "ledger", Voters: []string{"odori-1"}},
@@ -23,25 +23,25 @@
 			Period: 4},
 			Problem: "none"},
 	} {
-		held, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+		golden, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		in := json.NewDecoder(bytes.NewReader(held))
-		in.DisallowUnknownFields()
+		decoder := json.NewDecoder(bytes.NewReader(golden))
+		decoder.DisallowUnknownFields()
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
-		if err := in.Decode(got); err != nil {
+		if err := decoder.Decode(got); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as\n%+v, not\n%+v", name, got, want)
+			t.Errorf("%s: decoded as\n%+v, want\n%+v", name, got, want)
 		}
 		raw, err := json.Marshal(want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(raw, held) {
-			t.Errorf("%s: the program writes\n%s\nand the file holds\n%s", name, raw, held)
+		if !bytes.Equal(raw, golden) {
+			t.Errorf("%s: encoded as\n%s\nand the golden file has\n%s", name, raw, golden)
 		}
 	}
 }
--- a/internal/proxy/daemon/handover.go
+++ b/internal/proxy/daemon/handover.go
@@ -13,23 +13,23 @@
 	"cresshub/internal/proxy/logging"
 )
 
-// handoverState is what the proxy knows of its predecessor, the process that served the address before it,
-// and of its successors.
+// handoverState is the state of handovers from the proxy's predecessor, the process that served the address
+// before it, and to its successors.
 type handoverState struct {
 	socketPath        string                // of the Unix socket; "" without handover
 	predecessor       *handover.Predecessor // nil where no process served the address
-	predecessorExited chan struct{}         // closed once there is no predecessor, or none any more
+	predecessorExited chan struct{}         // closed where there is no predecessor, and once it has exited
 	offer             atomic.Pointer[handover.SuccessorListener]
 	serving           atomic.Bool // this process accepts clients
-	successorServing  atomic.Bool // a successor accepts them too
+	successorServing  atomic.Bool // a successor accepts clients
 
-	mu         sync.Mutex
-	alone      bool // predecessorExited is closed
-	successors int  // connected successors
+	mu            sync.Mutex
+	noPredecessor bool // there is no predecessor, or it has exited
+	successors    int  // connected successors
 }
 
-// inheritOrListen takes the listening socket over from the process that serves the address so far, or opens
-// one.
+// inheritOrListen takes over the listening socket of the process that serves the address, or opens one if
+// there is no such process.
 func (p *Proxy) inheritOrListen() error {
 	state := &p.handover
 	state.predecessorExited = make(chan struct{})
@@ -37,8 +37,8 @@
 	if dir == "" {
 		dir = os.Getenv("TMPDIR")
 	}
-	// Without handover the address isn't shared, so that a second process started there by mistake gets an
-	// error.
+	// Without handover the address isn't shared, so that a second process that is started with it by mistake
+	// gets an error.
 	var control func(string, string, syscall.RawConn) error
 	if dir != "" {
 		control = handover.ReusePort
@@ -57,14 +57,14 @@
 		p.applyLimits()
 		return nil
 	}
-	state.alone = true
+	state.noPredecessor = true
 	close(state.predecessorExited)
 	var err error
 	if p.listener, err = listen(p.startConfig.Listen.Address, control); err != nil {
 		return fmt.Errorf("listen.address: %w", err)
 	}
 	if dir != "" {
-		// With the port that the system has chosen for port 0.
+		// The path contains the port that the system has chosen for port 0.
 		state.socketPath = handover.SocketPath(dir, p.Address())
 	}
 	return nil
@@ -73,18 +73,18 @@
 // sharedLimitFraction is each process's fraction of the limits while two share them.
 const sharedLimitFraction = 0.5
 
-// limitFraction is this process's fraction of its limits: all of them unless a predecessor or a successor
-// runs.
+// limitFraction returns the fraction of the configured limits that this process may use: 1 unless a
+// predecessor or a successor runs.
 func (s *handoverState) limitFraction() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.alone && s.successors == 0 {
+	if s.noPredecessor && s.successors == 0 {
 		return 1
 	}
 	return sharedLimitFraction
 }
 
-// predecessorHasExited reports whether there is no predecessor, or none any more.
+// predecessorHasExited reports whether there is no predecessor, or it has exited.
 func (s *handoverState) predecessorHasExited() bool {
 	select {
 	case <-s.predecessorExited:
@@ -94,8 +94,9 @@
 	}
 }
 
-// acceptClients begins to accept clients: at once where no predecessor serves them, else when discovery has
-// sent a list or handover.settle has passed. Then successors can find this process.
+// acceptClients begins to accept clients, then lets successors find this process. Where a predecessor serves
+// clients, or where the proxy has to know of drains promptly (discovery.Limits.MaxReopenDelay), it first
+// waits for discovery to send a list, at most for handover.settle.
 func (p *Proxy) acceptClients() {
 	state := &p.handover
 	switch {
@@ -103,16 +104,16 @@
 		go p.waitForPredecessorExit()
 		p.waitForList(func() bool { return state.predecessorHasExited() || p.server.ShuttingDown() })
 		if p.server.ShuttingDown() && !state.predecessorHasExited() {
-			return // the predecessor goes on serving, as it was not notified
+			return // the predecessor continues to serve, as it was not notified
 		}
 	case listLimits(p.startConfig).MaxReopenDelay > 0:
-		// Drains that discovery knows of count from the first request on. If it can't be reached, the known list
-		// is used. A shutdown ends the wait too: clients that have connected meanwhile still get their responses.
+		// Drains that discovery knows of apply from the first request on. If it can't be reached, the known list
+		// is used. A shutdown also ends the wait: clients that have connected by then still get responses.
 		p.waitForList(func() bool { return p.stats.ListsFailed.Load() > 0 || p.server.ShuttingDown() })
 	}
 	go func() { _ = p.server.Serve(p.listener) }() // its error is nil once the listener is closed
 	p.offerHandover()
-	state.serving.Store(true) // last, because operators end the old process once this one is ready
+	state.serving.Store(true) // last, because operators stop the old process once this one is ready
 	attrs := []any{"listen", p.Address()}
 	if p.admin != nil {
 		attrs = append(attrs, "operator", p.admin.Address())
@@ -120,7 +121,7 @@
 	p.log.Info("ready", attrs...)
 }
 
-// listPollInterval is how often waitForList looks for a list.
+// listPollInterval is the interval at which waitForList checks whether a list has arrived.
 const listPollInterval = 5 * time.Millisecond
 
 // waitForList waits until discovery has sent a list, stop returns true, or handover.settle has passed.
@@ -156,11 +157,11 @@
 	return p.stats.ListsRead.Load() > 0 && p.discovery.NumListed() > 0
 }
 
-// waitForPredecessorExit takes over the predecessor's half of the limits once it has exited.
+// waitForPredecessorExit waits for the predecessor's exit and takes over its half of the limits.
 func (p *Proxy) waitForPredecessorExit() {
 	<-p.handover.predecessor.Exited()
 	p.handover.mu.Lock()
-	p.handover.alone = true
+	p.handover.noPredecessor = true
 	p.handover.mu.Unlock()
 	close(p.handover.predecessorExited)
 	p.log.Info("handover: old process ended")
@@ -168,8 +169,8 @@
 }
 
 // SuccessorJoined returns the listening socket and the list of servers for a process that takes over.
-// While this process's own predecessor still runs a successor has to wait, since the limits are for two
-// processes at a time. It waits for less than handover.wait, after which it would give up.
+// While this process's own predecessor still runs, a successor has to wait, since the limits are shared by
+// at most two processes. The wait ends before handover.wait has passed, after which the successor gives up.
 func (p *Proxy) SuccessorJoined() (handover.State, syscall.Conn, error) {
 	select {
 	case <-p.handover.predecessorExited:
@@ -177,28 +178,28 @@
 	}
 	socket, ok := p.listener.(syscall.Conn)
 	if !ok {
-		return handover.State{}, nil, errors.New("the listener has no socket")
+		return handover.State{}, nil, errors.New("the listener does not give access to its socket")
 	}
 	known, err := p.discovery.Export()
 	if err != nil {
 		return handover.State{}, nil, err
 	}
 	p.log.Info("handover: new process takes over")
-	p.countSuccessors(+1)
+	p.addSuccessors(+1)
 	return handover.State{ServerList: known, DiscoveryAddress: p.discovery.Origin()}, socket, nil
 }
 
-// SuccessorReady records that a successor accepts clients, so that a shutdown doesn't accept any more.
+// SuccessorReady records that a successor accepts clients, so that a shutdown accepts no new connections.
 func (p *Proxy) SuccessorReady() { p.handover.successorServing.Store(true) }
 
 // SuccessorExited records that a successor's connection has closed.
 func (p *Proxy) SuccessorExited() {
 	p.log.Warn("handover: new process ended")
-	p.countSuccessors(-1)
+	p.addSuccessors(-1)
 }
 
-// countSuccessors adds n to the number of connected successors and sets the limits for it.
-func (p *Proxy) countSuccessors(n int) {
+// addSuccessors adds n to the number of connected successors and adjusts the limits.
+func (p *Proxy) addSuccessors(n int) {
 	state := &p.handover
 	state.mu.Lock()
 	state.successors += n
--- a/internal/proxy/daemon/ledger.go
+++ b/internal/proxy/daemon/ledger.go
@@ -20,26 +20,26 @@
 	// ledgerGroup is the name of the Raft group that replicates the ledger.
 	ledgerGroup = "ledger"
 	// commitWaitTimeout bounds how long a shutdown waits until the last counts are committed; the outbox on
-	// disk keeps what isn't.
+	// disk keeps those that are not.
 	commitWaitTimeout = time.Second
 )
 
-// ledgerNode is this proxy's part in the replicated ledger of usage by tenant.
+// ledgerNode is this proxy's member of the replicated ledger of usage by tenant.
 type ledgerNode struct {
-	host     *raftgroup.Host   // its replica of the group, if it has one, and its way to the leader
-	recorder *pending.Recorder // counts that aren't committed yet
+	host     *raftgroup.Host   // its replica of the group, if it has one, and its calls to the leader
+	recorder *pending.Recorder // keeps counts until they are committed
 	stop     chan struct{}     // closed at shutdown
 }
 
-// openLedger opens the ledger's files and listener where ledger.bind names an address; runLedger starts it.
+// openLedger opens the ledger's files and listener if ledger.bind is set; runLedger starts the ledger.
 func (p *Proxy) openLedger() error {
 	c := &p.cfg.Ledger
 	if c.Bind == "" {
 		return nil
 	}
-	set := ledger.Settings{MaxPeriods: c.MaxPeriods, DedupPeriods: c.DedupPeriods, MaxIDs: c.MaxIDs,
+	settings := ledger.Settings{MaxPeriods: c.MaxPeriods, DedupPeriods: c.DedupPeriods, MaxIDs: c.MaxIDs,
 		MaxTenants: c.MaxTenants, MaxMembers: p.cfg.Fleet.MaxMembers}
-	if err := set.Check(); err != nil {
+	if err := settings.Check(); err != nil {
 		return err
 	}
 	var faults raftgroup.DiskFaults
@@ -56,7 +56,7 @@
 		SnapshotEntries: c.SnapshotEntries, SnapshotBytes: int64(c.SnapshotBytes), Relay: p.cfg.Fleet.Relay,
 		Groups: []string{ledgerGroup}, Faults: faults, Log: p.log.Logger,
 		NewStateMachine: func(string) raftgroup.StateMachine {
-			m, _ := groupstate.New(set) // checked above
+			m, _ := groupstate.New(settings) // checked above
 			return m
 		},
 	})
@@ -78,7 +78,7 @@
 	return pending.DecodeResult(l.host.Propose(ctx, ledgerGroup, command))
 }
 
-// usageRecorder returns what records the usage of each final response, nil without a ledger.
+// usageRecorder returns the function that records the usage of each final response, nil without a ledger.
 func (p *Proxy) usageRecorder() func(ingress.Usage) {
 	if p.ledger == nil {
 		return nil
@@ -89,7 +89,8 @@
 	}
 }
 
-// runLedger starts what openLedger opened: it needs the fleet's members, who are known by now.
+// runLedger starts the ledger that openLedger opened. It needs the fleet's members and so runs after
+// joinFleet.
 func (p *Proxy) runLedger() error {
 	l := p.ledger
 	if l == nil {
@@ -114,10 +115,10 @@
 	return nil
 }
 
-// periodQuery asks for no entries: every answer has the number of the open period.
+// periodQuery asks for no entries, only for the number of the open period, which every response has.
 var periodQuery, _ = json.Marshal(ledger.Query{Tenant: "-", Period: 1})
 
-// peers returns the fleet's members as the placement of replicas needs them.
+// peers returns the fleet's members in the form that replica placement uses.
 func (p *Proxy) peers() []raftgroup.Peer {
 	if p.fleet == nil {
 		return nil
@@ -132,8 +133,9 @@
 	return out
 }
 
-// closeLedger ends this proxy's part in the ledger: what was counted is committed, or stays in the outbox for
-// the next start. Further calls are no-ops; it must not be called from several goroutines at once.
+// closeLedger stops the singleton roles and closes the recorder and the replica. Counts are committed, or
+// stay in the outbox for the next start. Further calls are no-ops; it must not be called from several
+// goroutines at once.
 func (p *Proxy) closeLedger() {
 	l := p.ledger
 	if l == nil {
--- a/internal/proxy/daemon/ledgerpage.go
+++ b/internal/proxy/daemon/ledgerpage.go
@@ -14,7 +14,7 @@
 	"cresshub/internal/cluster/raftgroup"
 )
 
-// groupCallTimeout bounds a read or a proposal for the admin API, which is to respond within a second.
+// groupCallTimeout bounds a read or a proposal for the admin API, which has to respond within a second.
 const groupCallTimeout = 700 * time.Millisecond
 
 // LedgerPage is the response to GET /_ledger.
@@ -25,7 +25,7 @@
 	Problem string           `json:"problem,omitempty"` // why Ledger is missing
 }
 
-// readPage reads the ledger linearizably: the page has every count that was committed when the call came.
+// readPage reads the ledger linearizably: the page has every count that was committed when the call arrived.
 func (l *ledgerNode) readPage(params url.Values) any {
 	page := LedgerPage{Group: l.host.Status(ledgerGroup), Here: l.recorder.Stats()}
 	query := ledger.Query{Tenant: params.Get("tenant")}
@@ -58,8 +58,8 @@
 	Problem string `json:"problem,omitempty"`
 }
 
-// enterCorrection enters a correction against a closed period. Corrections of one id count once, so that a
-// call may be repeated.
+// enterCorrection proposes a correction of a closed period. Corrections with the same id count once, so that
+// a call may be repeated.
 func (l *ledgerNode) enterCorrection(params url.Values) any {
 	correction, err := parseCorrection(params)
 	if err != nil {
@@ -79,7 +79,8 @@
 	return CorrectionReply{Result: result}
 }
 
-// parseCorrection reads a correction from a call's query; the error has every mistake, a line each.
+// parseCorrection reads a correction from a call's query; the error lists every invalid or missing parameter,
+// one a line.
 func parseCorrection(params url.Values) (ledger.Correction, error) {
 	correction := ledger.Correction{ID: params.Get("id"), Reason: params.Get("reason"),
 		Key: ledger.Key{Tenant: params.Get("tenant"), Class: params.Get("class"), Answer: params.Get("answer")}}
@@ -91,15 +92,15 @@
 		}
 		return n
 	}
-	optional := func(key string) int64 {
+	parseOptionalInt := func(key string) int64 {
 		if params.Get(key) == "" {
 			return 0
 		}
 		return parseInt(key)
 	}
 	correction.Period = uint64(max(parseInt("period"), 0))
-	correction.Usage = ledger.Usage{Count: parseInt("n"), BytesIn: optional("bytes_in"),
-		BytesOut: optional("bytes_out")}
+	correction.Usage = ledger.Usage{Count: parseInt("n"), BytesIn: parseOptionalInt("bytes_in"),
+		BytesOut: parseOptionalInt("bytes_out")}
 	for _, key := range []string{"id", "tenant", "class", "answer", "reason"} {
 		if params.Get(key) == "" {
 			errs = append(errs, fmt.Errorf("%s is missing", key))
--- a/internal/proxy/daemon/limits.go
+++ b/internal/proxy/daemon/limits.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// memoryWithoutLimit, in bytes, is what buffered bodies are a fraction of where limits.memory is 0.
+	// memoryWithoutLimit, in bytes, replaces limits.memory, where that is 0, in the limit on buffered bodies.
 	memoryWithoutLimit = 64 << 20
-	// defaultDescriptors is the limit where neither the configuration nor the system sets one.
-	defaultDescriptors = 1024
-	// runtimeMemoryFraction of the process's memory is the limit of the Go runtime, which doesn't count the
-	// program's text and the kernel's buffers.
+	// defaultDescriptorLimit is the limit where neither the configuration nor the system sets one.
+	defaultDescriptorLimit = 1024
+	// runtimeMemoryFraction is the Go runtime's memory limit as a fraction of the process's. The runtime doesn't
+	// count the program's code and the kernel's buffers.
 	runtimeMemoryFraction = 0.75
-	// gcPercent makes collections rare, to save processor time; the limit of memory has precedence.
+	// gcPercent makes garbage collections rare to save CPU time; the memory limit takes precedence.
 	gcPercent = 300
 	// minReopenDelay is the shortest bound on the delay before an ended watch of discovery is opened again.
 	minReopenDelay = 20 * time.Millisecond
@@ -38,16 +38,16 @@
 	}
 }
 
-// descriptorLimit is how many descriptors the process may hold besides those of the admin API.
+// descriptorLimit returns how many descriptors the process may hold besides those of the admin API.
 func (p *Proxy) descriptorLimit() int {
-	n := int(float64(systemDescriptorLimit(p.startConfig.Limits.Descriptors)) * p.handover.limitFraction())
+	n := int(float64(processDescriptorLimit(p.startConfig.Limits.Descriptors)) * p.handover.limitFraction())
 	if p.startConfig.Operator != "" {
-		n -= adminapi.MaxConns + 1 // the one is for the listener
+		n -= adminapi.MaxConns + 1 // MaxConns connections and the listener
 	}
 	return n
 }
 
-// bodyBytes is how many bytes of memory buffered bodies may take.
+// bodyBytes returns how many bytes of memory buffered bodies may take.
 func (p *Proxy) bodyBytes() int64 {
 	memory := float64(p.startConfig.Limits.Memory)
 	if memory == 0 {
@@ -56,7 +56,7 @@
 	return int64(memory * p.startConfig.Limits.BodyFraction * p.handover.limitFraction())
 }
 
-// applyLimits sets the limits again after a predecessor or successor has come or exited.
+// applyLimits sets the limits again after a predecessor or successor has joined or exited.
 func (p *Proxy) applyLimits() {
 	SetRuntimeLimits(p.startConfig.Limits, p.handover.limitFraction())
 	if p.budget != nil {
@@ -65,9 +65,9 @@
 	}
 }
 
-// systemDescriptorLimit is the configured limit or the system's, whichever is lower. 0 is no configured
-// limit.
-func systemDescriptorLimit(configured int) int {
+// processDescriptorLimit returns the configured limit or the system's, whichever is lower. A configured limit
+// of 0 means none.
+func processDescriptorLimit(configured int) int {
 	var rlimit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit); err == nil && rlimit.Cur < math.MaxInt32 {
 		if configured <= 0 || int(rlimit.Cur) < configured {
@@ -75,22 +75,22 @@
 		}
 	}
 	if configured <= 0 {
-		return defaultDescriptors
+		return defaultDescriptorLimit
 	}
 	return configured
 }
 
-// listLimits are discovery's limits by the configuration.
+// listLimits returns the configured limits of discovery.
 func listLimits(cfg *config.Config) discovery.Limits {
 	l := discovery.Limits{WatchTimeout: cfg.Discovery.WatchTimeout, MaxListBytes: int(cfg.Discovery.MaxList)}
 	if cfg.Discovery.Mode == config.ModeTold && cfg.Discovery.Address != "" {
-		// A drain counts from the moment discovery has it, so it has to arrive well within drain.grace.
+		// drain.grace counts from the moment discovery has the drain, so it has to arrive well within that time.
 		l.MaxReopenDelay = max(cfg.Drain.Grace/4, minReopenDelay)
 	}
 	return l
 }
 
-// poolLimits are the connection pool's limits by the configuration.
+// poolLimits returns the configured limits of the connection pool.
 func poolLimits(cfg *config.Config) upstream.Limits {
 	dial := cfg.Upstream.DialLimit()
 	return upstream.Limits{DialTimeout: dial, MaxIdle: cfg.Upstream.MaxIdle(),
--- a/internal/proxy/daemon/reload.go
+++ b/internal/proxy/daemon/reload.go
@@ -11,10 +11,10 @@
 	"cresshub/internal/settingsfile"
 )
 
-// reload applies the keys that changed. A configuration that can't be used changes nothing, and neither does
-// one of the own file with a changed key that needs a restart: to apply the other keys would make a third
-// configuration that nobody wrote. Of the platform's file, by agreement with the operators, live keys are
-// applied and the others wait for the restart.
+// reload applies the keys that changed. An invalid configuration changes nothing. Neither does one from the
+// proxy's own file if a changed key needs a restart: applying only the other keys would result in a third
+// configuration that nobody wrote. From the platform's file, by agreement with the operators, live keys are
+// applied and the others take effect at the next start.
 func (p *Proxy) reload(next *config.Config, err error) {
 	if err != nil {
 		var problems settingsfile.SettingErrors
@@ -26,24 +26,25 @@
 		}
 		return
 	}
-	live, restart := p.cfg.Changed(next)
-	if len(restart) > 0 {
+	liveKeys, restartKeys := p.cfg.Changed(next)
+	if len(restartKeys) > 0 {
 		if !next.FromPlatform() {
-			p.log.Error("config: reload rejected, a change needs a restart", "keys", strings.Join(restart, " "))
+			p.log.Error("config: reload rejected, a change needs a restart",
+				"keys", strings.Join(restartKeys, " "))
 			return
 		}
-		p.log.Warn("config: some changes take effect at the next start", "keys", strings.Join(restart, " "))
+		p.log.Warn("config: some changes take effect at the next start", "keys", strings.Join(restartKeys, " "))
 	}
 	p.log.Info("config: reloaded", "discovery", next.Discovery.Address,
-		"changed", strings.Join(live, " "))
+		"changed", strings.Join(liveKeys, " "))
 	p.cfg = p.cfg.WithLive(next)
-	p.apply(live)
+	p.apply(liveKeys)
 }
 
-// apply passes the values of changed keys to the parts that use them.
-func (p *Proxy) apply(live []string) {
+// apply passes the values of changed keys to the components that use them.
+func (p *Proxy) apply(liveKeys []string) {
 	changed := func(prefixes ...string) bool {
-		return slices.ContainsFunc(live, func(key string) bool {
+		return slices.ContainsFunc(liveKeys, func(key string) bool {
 			return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 		})
 	}
--- a/internal/proxy/daemon/reload_test.go
+++ b/internal/proxy/daemon/reload_test.go
@@ -11,11 +11,11 @@
 	"cresshub/internal/proxy/config"
 )
 
-// Successors may join and exit while the configuration is reread; the race detector sees what both would
-// touch.
+// Successors may join and exit while the configuration is reread; the race detector reports variables that
+// both access without synchronization.
 func TestReloadWhileASuccessorJoins(t *testing.T) {
 	t.Setenv("TMPDIR", "")
-	// The shutdown lasts for long enough to get one more signal.
+	// The shutdown lasts long enough to receive one more signal.
 	const shutdown = 3 * time.Second
 	cfg := platformConfig(t)
 	cfg.Shutdown.AcceptFor, cfg.Shutdown.CloseAll = shutdown, shutdown
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	signals, ended, read := make(chan os.Signal), make(chan bool), 0
+	signals, exited, rereads := make(chan os.Signal), make(chan bool), 0
 	go func() {
 		p.Run(signals, func() (*config.Config, error) {
 			next, err := loadPlatformConfig()
@@ -31,11 +31,11 @@
 				return nil, err
 			}
 			next.Shutdown = cfg.Shutdown
-			next.Log.Level = []string{"error", "warn"}[read%2]
-			read++
+			next.Log.Level = []string{"error", "warn"}[rereads%2]
+			rereads++
 			return next, nil
 		})
-		close(ended)
+		close(exited)
 	}()
 	var joins sync.WaitGroup
 	for range 4 {
@@ -54,13 +54,14 @@
 	}
 	joins.Wait()
 	signals <- syscall.SIGTERM
-	signals <- syscall.SIGHUP // also while it ends
+	signals <- syscall.SIGHUP // also during the shutdown
 	select {
 	case signals <- syscall.SIGTERM:
-	case <-ended:
+	case <-exited:
 	}
-	<-ended
-	if read != 21 || p.handover.limitFraction() != 1 {
-		t.Errorf("read %d times; its part of the limits is %v", read, p.handover.limitFraction())
+	<-exited
+	if rereads != 21 || p.handover.limitFraction() != 1 {
+		t.Errorf("configuration reread %d times, fraction of the limits %v; want 21 and 1", rereads,
+			p.handover.limitFraction())
 	}
 }
--- a/internal/proxy/daemon/roles.go
+++ b/internal/proxy/daemon/roles.go
@@ -25,10 +25,10 @@
 
 func (s groupStore) Peek(query []byte) (any, bool) { return s.host.ReadStale(ledgerGroup, query) }
 
-// endpointSource lets the role that reads discovery for all members provide the list of servers.
+// endpointSource lets the singleton role that reads discovery for all members supply the list of servers.
 type endpointSource struct{ *discovery.Client }
 
-// Feed changes where the list comes from.
+// Feed sets the source of the list.
 func (s endpointSource) Feed(f leaseholder.Feed) {
 	s.Client.SetFeed(discovery.Feed{ReplaceOnly: f.FromOwner, Token: f.Token})
 }
--- a/internal/proxy/daemon/times_test.go
+++ b/internal/proxy/daemon/times_test.go
@@ -8,7 +8,7 @@
 	"cresshub/internal/proxy/config"
 )
 
-// platformConfig is the configuration that the platform's file gives, with all else by default.
+// platformConfig returns the configuration from a platform's file, with defaults for all other keys.
 func platformConfig(t *testing.T) *config.Config {
 	t.Helper()
 	cfg, err := loadPlatformConfig()
@@ -18,7 +18,7 @@
 	return cfg
 }
 
-// loadPlatformConfig is platformConfig for other goroutines than the test's.
+// loadPlatformConfig is platformConfig for goroutines other than the test's.
 func loadPlatformConfig() (*config.Config, error) {
 	return config.Load(config.Input{
 		Environ: func() []string { return []string{"EDGE_CONFIG=x"} },
@@ -31,26 +31,26 @@
 }
 
 // The platform may kill a process once its longest deadline and 0.7 s have passed since SIGTERM, and clients
-// go on opening connections for 0.4 s: no idle connection, nor one with an incomplete request, is kept for so
-// long that a request on it could be cut off.
-func TestShutdownIsOverBeforeThePlatformKills(t *testing.T) {
-	const sure, opens = 700 * time.Millisecond, 400 * time.Millisecond
+// continue to open connections for 0.4 s. No idle connection, nor one with an incomplete request, may stay
+// open for so long that the kill could cut off a request on it.
+func TestShutdownEndsBeforeThePlatformKillsTheProcess(t *testing.T) {
+	const killMargin, connectWindow = 700 * time.Millisecond, 400 * time.Millisecond
 	s := platformConfig(t).Shutdown
 	for name, d := range map[string]time.Duration{"accept_for": s.AcceptFor, "close_all_after": s.CloseAll} {
-		if d > sure || d < opens {
+		if d > killMargin || d < connectWindow {
 			t.Errorf("%s: %v", name, d)
 		}
 	}
 }
 
-// What a silent watch misses takes effect 6 s after it fell silent. That is time enough, at the platform's
-// settings and with the longest pause everywhere, to miss it, to have one call refused, and to make
-// another; and so it is where one call takes as long as a call may.
-func TestSilentWatchIsReplacedBeforeMissedChangesBind(t *testing.T) {
-	const binds, answer = 6 * time.Second, 400 * time.Millisecond // of each of two calls
+// A change that a silent watch misses takes effect 6 s after the watch fell silent. At the platform's
+// settings and with every delay at its longest, that is long enough to notice the silence, to have one call
+// refused and to make another; it is also long enough where one call takes as long as a call may.
+func TestSilentWatchIsReplacedBeforeMissedChangesTakeEffect(t *testing.T) {
+	const effectDelay, responseTime = 6 * time.Second, 400 * time.Millisecond // responseTime of each call
 	cfg := platformConfig(t)
 	limits, dial := listLimits(cfg), cfg.Upstream.DialLimit()
-	longest := time.Duration(0) // pause of the decisions after a call that failed
+	longestDelay := time.Duration(0) // of the balancer's retry after a failed call
 	for seed := range uint64(1000) {
 		set := cfg.Settings().Settings
 		set.Seed = seed
@@ -58,26 +58,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := b.List(0, balance.ListFailed, nil, nil)
-		if len(acts) != 1 || acts[0].Kind != balance.SetTimer {
-			t.Fatalf("a call that failed: %+v", acts)
+		actions := b.List(0, balance.ListFailed, nil, nil)
+		if len(actions) != 1 || actions[0].Kind != balance.SetTimer {
+			t.Fatalf("actions after a failed call: %+v", actions)
 		}
-		longest = max(longest, acts[0].Wait)
+		longestDelay = max(longestDelay, actions[0].Wait)
 	}
-	heard := limits.WatchTimeout + limits.TimeoutReopenDelay() + dial
-	// The follower makes that other call by itself; where it leaves it to the decisions the sum has to hold too,
-	// at the platform's settings.
-	for by, pause := range map[string]time.Duration{
-		"follower": limits.TimeoutReopenDelay(), "decisions": longest,
+	reconnected := limits.WatchTimeout + limits.TimeoutReopenDelay() + dial
+	// The discovery client makes the second call by itself ("follower"). The bound also has to hold, at the
+	// platform's settings, where it leaves that call to the balancer ("decisions").
+	for caller, delay := range map[string]time.Duration{
+		"follower": limits.TimeoutReopenDelay(), "decisions": longestDelay,
 	} {
-		if sum := heard + answer + pause + dial + answer; sum > binds {
-			t.Errorf("refused once, asked again by the %s: %v", by, sum)
+		if sum := reconnected + responseTime + delay + dial + responseTime; sum > effectDelay {
+			t.Errorf("one call refused, the next made by the %s: %v, want at most 6s", caller, sum)
 		}
 	}
-	if sum := heard + limits.WatchTimeout; sum > binds {
-		t.Errorf("slow: %v", sum)
+	if sum := reconnected + limits.WatchTimeout; sum > effectDelay {
+		t.Errorf("a call as slow as permitted: %v, want at most 6s", sum)
 	}
 	if limits.MaxReopenDelay != 0 {
-		t.Errorf("asked for unasked, each %v", limits.MaxReopenDelay)
+		t.Errorf("MaxReopenDelay is %v with registry-mode on_request, want 0", limits.MaxReopenDelay)
 	}
 }
