--- a/internal/proxy/simwire/batch.go
+++ b/internal/proxy/simwire/batch.go
@@ -9,11 +9,11 @@
 	"github.com/go-faster/jx"
 )
 
-// Decoder reads batches. It keeps the numbered server lists, which belong to no instance.
+// Decoder reads batches. It keeps the numbered server lists, which all instances share.
 type Decoder struct {
 	json   jx.Decoder
 	pages  pages
-	event  Event       // of the event that is being read; reused
+	event  Event       // the event that is being read; reused
 	fields eventFields // of the same event
 	report []float64   // buffer of a load report
 }
@@ -33,7 +33,7 @@
 	batchComplete = batchTime | batchNumber | batchEvents
 )
 
-// batchFieldNames are the names of these fields, in the order in which missing ones are reported.
+// batchFieldNames lists the names of these fields in the order in which missing ones are reported.
 var batchFieldNames = []struct {
 	field batchField
 	name  string
@@ -41,10 +41,10 @@
 
 // partialBatch is one batch while it is being read.
 type partialBatch struct {
-	present batchField // the fields that came
+	present batchField // the fields that have been read
 	now     time.Duration
 	number  int64
-	// postponed are the events, unread, where they stand before the time or the number.
+	// postponed is the undecoded list of events, if it precedes the time or the number.
 	postponed jx.Raw
 }
 
@@ -57,7 +57,7 @@
 		return d.decodeBatchField(&b, j, key, handle)
 	})
 	if err == nil && d.json.Next() != jx.Invalid {
-		err = errors.New("something follows the object")
+		err = errors.New("data follows the JSON object")
 	}
 	if err == nil {
 		err = b.checkComplete()
@@ -71,8 +71,8 @@
 	return b.number, nil
 }
 
-// decodeBatchField reads one field of a batch. The events are handled at once where the time and the number
-// stand before them; otherwise they are kept for when the line has been read.
+// decodeBatchField reads one field of a batch. The events are handled at once if the time and the number
+// precede them; otherwise they are kept until the whole line has been read.
 func (d *Decoder) decodeBatchField(b *partialBatch, j *jx.Decoder, key []byte, handle Handler) (err error) {
 	switch string(key) {
 	case "sim-time-ms":
@@ -93,7 +93,7 @@
 	return withField(err, string(key))
 }
 
-// checkComplete returns an error that names the first field that did not come.
+// checkComplete returns an error that names the first missing field.
 func (b *partialBatch) checkComplete() error {
 	for _, f := range batchFieldNames {
 		if b.present&f.field == 0 {
@@ -115,13 +115,13 @@
 	})
 }
 
-// decodeNamedEvent reads an element of that list, an object whose only name is the kind of the event and
-// whose value is its fields. Events of unknown kinds are skipped.
+// decodeNamedEvent reads an element of that list: an object with one member, whose name is the kind of the
+// event and whose value has its fields. Events of unknown kinds are skipped.
 func (d *Decoder) decodeNamedEvent(j *jx.Decoder, now time.Duration, handle Handler) error {
 	hasName := false
 	return j.ObjBytes(func(j *jx.Decoder, name []byte) error {
 		if hasName {
-			return errors.New("more than one name")
+			return errors.New("an event has more than one name")
 		}
 		hasName = true
 		kind, known := kinds[string(name)]
--- a/internal/proxy/simwire/doc.go
+++ b/internal/proxy/simwire/doc.go
@@ -1,7 +1,7 @@
-// Package simwire translates between the simulator's JSON lines and the balancer: a line with a batch of
-// events comes in, each event goes to the balancer of its instance, and the actions go out as one line of
-// reply. It is the only package with the names of that protocol, which are those of the operators' page. The
-// platform's configuration file has the same settings object (ReadSettings). It makes no decisions.
+// Package simwire translates between the simulator's JSON lines and the balancer: it reads a line with a
+// batch of events, passes each event to the balancer of its instance, and writes the actions as one line of
+// reply. It is the only package with the names of that protocol, which the operators' page defines. The
+// platform's configuration file has the same settings object (ReadSettings). The package makes no decisions.
 //
 // A batch is an object like
 //
--- a/internal/proxy/simwire/encode.go
+++ b/internal/proxy/simwire/encode.go
@@ -68,9 +68,9 @@
 	e.writer.RawStr("}}")
 }
 
-// openAction writes the beginning of an action, up to the number of its instance.
-func (e *Encoder) openAction(head string, sidecar int) {
-	e.writer.RawStr(head)
+// openAction writes the beginning of an action, up to and including the number of its instance.
+func (e *Encoder) openAction(prefix string, sidecar int) {
+	e.writer.RawStr(prefix)
 	e.writer.Int(sidecar)
 }
 
@@ -80,14 +80,14 @@
 	e.writer.Str(id)
 }
 
-// writeUint writes a number; name is the text before it.
-func (e *Encoder) writeUint(name string, v uint64) {
-	e.writer.RawStr(name)
+// writeUint writes a number after prefix, which has the comma and the field's name.
+func (e *Encoder) writeUint(prefix string, v uint64) {
+	e.writer.RawStr(prefix)
 	e.writer.UInt64(v)
 }
 
-// writeWait writes an action's time in milliseconds; name is the text before it.
-func (e *Encoder) writeWait(name string, a *balance.Action) {
-	e.writer.RawStr(name)
+// writeWait writes an action's time in milliseconds after prefix, as writeUint does.
+func (e *Encoder) writeWait(prefix string, a *balance.Action) {
+	e.writer.RawStr(prefix)
 	e.writer.Float64(float64(a.Wait) / 1e6)
 }
--- a/internal/proxy/simwire/event.go
+++ b/internal/proxy/simwire/event.go
@@ -26,15 +26,15 @@
 	directoryPage
 )
 
-// kinds are the kinds of events by their names. Other events are skipped.
+// kinds maps the names of events to their kinds. Other events are skipped.
 var kinds = map[string]Kind{
 	"Boot": Boot, "Registry": Registry, "NewRequest": NewRequest, "Ended": Ended, "Echo": Echo,
 	"Elapsed": Elapsed, "Established": Established, "TimedOutClient": TimedOutClient,
 	"Datagram": Datagram, "Detach": Detach, "Directory": directoryPage,
 }
 
-// Event is one event for one instance; it is valid only while it is being handled. The fields beside Kind and
-// Sidecar are set in events of the kinds that are named with them.
+// Event is one event for one instance; it is valid only while it is being handled. Each field other than Kind
+// and Sidecar is set only in events of the kinds that its comment names.
 type Event struct {
 	Kind     Kind
 	Sidecar  int                 // number of the instance
@@ -61,7 +61,7 @@
 		if err != nil {
 			return withField(err, string(key))
 		}
-		d.fields.present |= requirableFields[string(key)]
+		d.fields.present |= fieldBits[string(key)]
 		return nil
 	})
 	if err != nil {
@@ -73,7 +73,8 @@
 	return d.completeEvent()
 }
 
-// completeEvent sets what an event of its kind is made of from fields that several kinds have.
+// completeEvent sets the parts of d.event that are made from fields which several kinds of events share. It
+// stores the server list of a Directory event.
 func (d *Decoder) completeEvent() (err error) {
 	event, fields := &d.event, &d.fields
 	switch event.Kind {
--- a/internal/proxy/simwire/fields.go
+++ b/internal/proxy/simwire/fields.go
@@ -9,8 +9,8 @@
 	"cresshub/balance"
 )
 
-// eventFields are the fields that events of several kinds have, and which fields came. completeEvent makes
-// from them what an event of its kind has.
+// eventFields are the fields that events of several kinds share, and the set of fields that are present.
+// completeEvent copies them to the event, by its kind.
 type eventFields struct {
 	present   fieldSet
 	page      int // number of a server list
@@ -45,8 +45,8 @@
 	fieldEntries
 )
 
-// requirableFields are the bits of those fields by their names.
-var requirableFields = map[string]fieldSet{
+// fieldBits maps the names of those fields to their bits.
+var fieldBits = map[string]fieldSet{
 	"sidecar": fieldSidecar, "salt": fieldSalt, "facts": fieldFacts, "scope": fieldScope, "tid": fieldTid,
 	"client-deadline-ms": fieldDeadline, "lane": fieldLane, "server": fieldServer, "how": fieldHow,
 	"attempt": fieldAttempt, "name": fieldName, "neighbour": fieldNeighbour, "body": fieldBody,
@@ -72,7 +72,7 @@
 // firstName returns the name of the alphabetically first field of a set.
 func (s fieldSet) firstName() string {
 	first := ""
-	for name, field := range requirableFields {
+	for name, field := range fieldBits {
 		if s&field != 0 && (first == "" || name < first) {
 			first = name
 		}
@@ -80,21 +80,21 @@
 	return first
 }
 
-// results are the results of attempts and probes by their names.
+// results maps names to the results of attempts and probes.
 var results = map[string]balance.Result{
 	"done": balance.Done, "err": balance.Error, "busy": balance.Rejected, "etimedout": balance.TimedOut,
 	"econnrefused": balance.ConnRefused, "econnreset": balance.Reset, "ecanceled": balance.Cancelled,
 	"skipped": balance.Skipped,
 }
 
-// scopes are the kinds of server lists by their names.
+// scopes maps names to the kinds of server lists.
 var scopes = map[string]balance.ListKind{
 	"cached": balance.ListCached, "full": balance.ListFull, "delta": balance.ListDelta,
 	"failed": balance.ListFailed,
 }
 
-// decodeField reads one field of an event; known is false, and nothing read, where the name has no meaning in
-// an event of this kind.
+// decodeField reads one field of an event. Where the name has no meaning in an event of this kind, known is
+// false and nothing is read.
 func (d *Decoder) decodeField(j *jx.Decoder, key []byte) (known bool, err error) {
 	event, fields := &d.event, &d.fields
 	switch string(key) {
@@ -116,7 +116,7 @@
 	case "facts":
 		var settings Settings
 		settings, err = decodeSettings(j)
-		settings.Seed = event.Settings.Seed // of "salt", where it stands before
+		settings.Seed = event.Settings.Seed // from "salt", if it precedes "facts"
 		event.Settings = settings.Settings
 	case "scope":
 		event.List, err = decodeEnum(j, scopes)
@@ -133,7 +133,7 @@
 	return true, err
 }
 
-// decodeResultField reads a field that tells how an attempt or a probe went.
+// decodeResultField reads a field that describes the result of an attempt or a probe.
 func (d *Decoder) decodeResultField(j *jx.Decoder, key []byte) (known bool, err error) {
 	fields := &d.fields
 	switch string(key) {
@@ -156,7 +156,7 @@
 	return true, err
 }
 
-// flagClientRetry is the bit of a request's "bitmap" that marks a client's own retry.
+// flagClientRetry is the bit of a request's "bitmap" that marks it as a retry by the client.
 const flagClientRetry = 2
 
 // decodeRequestField reads a field that describes a new request.
@@ -187,7 +187,7 @@
 	return true, err
 }
 
-// decodeKey reads the key of what a request asks for, hex digits in a text.
+// decodeKey reads the key of the object that a request asks for, a string of hex digits.
 func decodeKey(j *jx.Decoder) (uint64, error) {
 	digits, err := j.StrBytes()
 	if err != nil {
--- a/internal/proxy/simwire/host.go
+++ b/internal/proxy/simwire/host.go
@@ -8,11 +8,11 @@
 	"cresshub/balance"
 )
 
-// Host holds the balancers of the simulated instances by number.
+// Host runs the balancers of the simulated instances.
 type Host struct {
 	decoder   Decoder
 	encoder   Encoder
-	instances map[int]*balance.Balancer
+	instances map[int]*balance.Balancer // by number
 	actions   []balance.Action
 }
 
@@ -67,7 +67,7 @@
 		actions = b.ClientDisconnected(now, ev.Outcome.ID, actions)
 	case Datagram: // client proxies share nothing
 	default:
-		return errors.New("no handler")
+		return errors.New("no handler for this kind of event")
 	}
 	for i := range actions {
 		h.encoder.Action(ev.Sidecar, &actions[i])
--- a/internal/proxy/simwire/pages.go
+++ b/internal/proxy/simwire/pages.go
@@ -9,16 +9,16 @@
 	"cresshub/balance"
 )
 
-// pageCount is how many numbered server lists there may be.
+// pageCount is the maximum number of server lists; they are numbered from 0.
 const pageCount = 16
 
-// pages are the server lists that Directory events brought, by number. Registry events name them.
+// pages holds the server lists of Directory events by number. Registry events refer to them.
 type pages struct {
 	lists  [pageCount][]balance.Server
 	stored [pageCount]bool
 }
 
-// store keeps the server list of a Directory event under its number.
+// store stores the server list of a Directory event under its number.
 func (p *pages) store(number int, servers []balance.Server) error {
 	if number < 0 || number >= pageCount {
 		return errors.New(`field "page": not from 0 to 15`)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// load returns the server list that a Registry event names by number.
+// load returns the server list to which a Registry event refers.
 func (p *pages) load(fields *eventFields) ([]balance.Server, error) {
 	if fields.present&fieldPage == 0 {
 		return nil, errors.New(`field "page" is missing`)
@@ -39,7 +39,7 @@
 	return p.lists[number], nil
 }
 
-// states are the states of servers by their names.
+// states maps names to the states of servers.
 var states = map[string]balance.ServerState{
 	"IN": balance.Up, "LAME": balance.Draining, "OUT": balance.Removed,
 }
@@ -83,7 +83,7 @@
 		return withField(err, string(key))
 	})
 	if err == nil && !(hasID && hasState) {
-		err = errors.New("a line lacks its server or its state")
+		err = errors.New("an entry lacks its server or its state")
 	}
 	return server, err
 }
--- a/internal/proxy/simwire/settings.go
+++ b/internal/proxy/simwire/settings.go
@@ -10,25 +10,26 @@
 	"cresshub/balance"
 )
 
-// Effects are the names of what a second run of a request would do.
+// Effects maps names to the effects that a second execution of a request may have.
 var Effects = map[string]balance.Effect{
 	"idempotent": balance.Idempotent, "deduplicated": balance.Deduplicated, "at_most_once": balance.AtMostOnce,
 }
 
-// Groups are the names of the sets of servers that drop the second run of a deduplicated request.
+// Groups maps names to the sets of servers within which a second execution of a deduplicated request is
+// dropped.
 var Groups = map[string]balance.DedupScope{
 	"all": balance.DedupFleet, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
-// Fields are the names of the values of a load report that the balancer reads; others are skipped.
+// Fields maps names to the values of a load report that the balancer reads; others are skipped.
 var Fields = map[string]balance.ReportField{
 	"active": balance.FieldInFlight, "waiting": balance.FieldQueued, "cpu": balance.FieldUtilization,
 }
 
-// fieldDecoder reads one value into the variable that it was made for.
+// fieldDecoder decodes one value into the variable to which it is bound.
 type fieldDecoder func(*jx.Decoder) error
 
-// decodeInto stores in *to what read returns.
+// decodeInto returns a decoder that stores the result of read in *to.
 func decodeInto[T any](to *T, read func(*jx.Decoder) (T, error)) fieldDecoder {
 	return func(j *jx.Decoder) (err error) {
 		*to, err = read(j)
@@ -40,14 +41,14 @@
 func countInto(to *int) fieldDecoder            { return decodeInto(to, decodeCount) }
 func boolInto(to *bool) fieldDecoder            { return decodeInto(to, (*jx.Decoder).Bool) }
 func millisInto(to *time.Duration) fieldDecoder { return decodeInto(to, decodeMillis) }
-func textInto(to *string) fieldDecoder          { return decodeInto(to, (*jx.Decoder).Str) }
+func stringInto(to *string) fieldDecoder        { return decodeInto(to, (*jx.Decoder).Str) }
 
-// enumInto reads the name of one of a fixed set of values.
+// enumInto returns a decoder that reads the name of one of a fixed set of values.
 func enumInto[T any](to *T, values map[string]T) fieldDecoder {
 	return decodeInto(to, func(j *jx.Decoder) (T, error) { return decodeEnum(j, values) })
 }
 
-// equalsInto reads whether a text is a given one.
+// equalsInto returns a decoder that stores whether a string equals text.
 func equalsInto(to *bool, text string) fieldDecoder {
 	return decodeInto(to, func(j *jx.Decoder) (bool, error) {
 		b, err := j.StrBytes()
@@ -55,7 +56,7 @@
 	})
 }
 
-// appendTo appends one text to a list.
+// appendTo returns a decoder that appends one string to a list.
 func appendTo(to *[]string) fieldDecoder {
 	return func(j *jx.Decoder) error {
 		text, err := j.Str()
@@ -64,12 +65,12 @@
 	}
 }
 
-// arrayOf calls each for every element of an array.
+// arrayOf returns a decoder that calls each for every element of an array.
 func arrayOf(each fieldDecoder) fieldDecoder {
 	return func(j *jx.Decoder) error { return j.Arr(each) }
 }
 
-// objectOf reads the named values of an object.
+// objectOf returns a decoder that reads the named values of an object.
 func objectOf(fields map[string]fieldDecoder) fieldDecoder {
 	return func(j *jx.Decoder) error { return decodeObject(j, fields) }
 }
@@ -175,7 +176,7 @@
 	var c balance.Class
 	var name string
 	err := decodeObject(j, map[string]fieldDecoder{
-		"name":        textInto(&name),
+		"name":        stringInto(&name),
 		"aim-ms":      millisInto(&c.LatencyTarget),
 		"aim-stretch": floatInto(&c.TargetPerWork),
 		"deadline-ms": millisInto(&c.Deadline),
@@ -195,7 +196,7 @@
 	var t balance.Tenant
 	var name string
 	err := decodeObject(j, map[string]fieldDecoder{
-		"name":        textInto(&name),
+		"name":        stringInto(&name),
 		"portion":     floatInto(&t.Fraction),
 		"quota-per-s": floatInto(&t.QuotaPerSec),
 	})
--- a/internal/proxy/simwire/simwire_test.go
+++ b/internal/proxy/simwire/simwire_test.go
@@ -32,11 +32,11 @@
 		`"client-deadline-ms":8652.25,"bitmap":1,"lane":0,"size-hint-ms":12.0}}`, i, n)
 }
 
-func batch(n int, at float64, events ...string) string {
-	return fmt.Sprintf(`{"sim-time-ms":%v,"n":%d,"happened":[%s]}`+"\n", at, n, strings.Join(events, ","))
+func batch(n int, millis float64, events ...string) string {
+	return fmt.Sprintf(`{"sim-time-ms":%v,"n":%d,"happened":[%s]}`+"\n", millis, n, strings.Join(events, ","))
 }
 
-func TestReplyCarriesTheActionsOfABatch(t *testing.T) {
+func TestReplyHasTheActionsOfABatch(t *testing.T) {
 	h := NewHost()
 	reply := func(line string) string {
 		t.Helper()
@@ -58,33 +58,33 @@
 	echo := `{"Echo":{"sidecar":3,"rtt-ms":1.4,"server":%d,"how":"done","metrics":[0,0]}}`
 	got = reply(batch(3, 10, fmt.Sprintf(echo, 51530247), fmt.Sprintf(echo, 747639282)))
 	if !strings.Contains(got, `{"Place":{"sidecar":3,"tid":"t/1","server":`) {
-		t.Errorf("no attempt in %s", got)
+		t.Errorf("no attempt was sent in %s", got)
 	}
 }
 
 func TestErrorsNameBatchEventAndField(t *testing.T) {
 	ok := boot(3)
 	for name, c := range map[string]struct{ line, want string }{
-		"not JSON":         {"nonsense\n", "batch 0"},
-		"cut off":          {`{"sim-time-ms":1,"n":4,"happened":[`, "batch 4"},
-		"two values":       {batch(4, 1) + "{}", "follows"},
-		"no clock":         {`{"n":4,"happened":[]}`, "sim-time-ms"},
-		"missing field":    {batch(4, 1, ok, `{"Elapsed":{"sidecar":3}}`), `Elapsed: field "name" is missing`},
-		"wrong type":       {batch(4, 1, ok, `{"Elapsed":{"sidecar":3,"name":"x"}}`), `1: Elapsed: field "name"`},
-		"unknown page":     {batch(4, 1, ok, registry(3)), `Registry: field "page"`},
-		"never booted":     {batch(4, 1, `{"Elapsed":{"sidecar":9,"name":1}}`), "instance 9 was never booted"},
-		"unknown outcome":  {batch(4, 1, ok, `{"Echo":{"sidecar":3,"server":1,"how":"odd"}}`), `field "how"`},
-		"page out of line": {batch(4, 1, `{"Directory":{"page":16,"entries":[]}}`), `field "page"`},
-		"no classes":       {batch(4, 1, `{"Boot":{"sidecar":3,"salt":1,"facts":{"grades":[]}}}`), "grades"},
+		"not JSON":          {"nonsense\n", "batch 0"},
+		"cut short":         {`{"sim-time-ms":1,"n":4,"happened":[`, "batch 4"},
+		"two values":        {batch(4, 1) + "{}", "follows"},
+		"no time":           {`{"n":4,"happened":[]}`, "sim-time-ms"},
+		"missing field":     {batch(4, 1, ok, `{"Elapsed":{"sidecar":3}}`), `Elapsed: field "name" is missing`},
+		"wrong type":        {batch(4, 1, ok, `{"Elapsed":{"sidecar":3,"name":"x"}}`), `1: Elapsed: field "name"`},
+		"unknown page":      {batch(4, 1, ok, registry(3)), `Registry: field "page"`},
+		"never booted":      {batch(4, 1, `{"Elapsed":{"sidecar":9,"name":1}}`), "instance 9 was never booted"},
+		"unknown outcome":   {batch(4, 1, ok, `{"Echo":{"sidecar":3,"server":1,"how":"odd"}}`), `field "how"`},
+		"page out of range": {batch(4, 1, `{"Directory":{"page":16,"entries":[]}}`), `field "page"`},
+		"no classes":        {batch(4, 1, `{"Boot":{"sidecar":3,"salt":1,"facts":{"grades":[]}}}`), "grades"},
 	} {
 		_, err := NewHost().Reply([]byte(c.line))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
+			t.Errorf("%s: error %v, want one that contains %q", name, err, c.want)
 		}
 	}
 }
 
-// The same events give the same bytes, and instances act in one host as they do alone.
+// The same events result in the same bytes, and an instance acts the same in a host of several as alone.
 func TestSameEventsGiveSameBytesAndInstancesAreIndependent(t *testing.T) {
 	run := func(instances ...int) []byte {
 		h := NewHost()
@@ -115,6 +115,6 @@
 	together := own.FindAllString(string(run(1, 2, 3)), -1)
 	alone := own.FindAllString(string(run(2)), -1)
 	if len(alone) < 40 || !slices.Equal(together, alone) {
-		t.Errorf("instance 2 acts otherwise among others:\n%v\nalone:\n%v", together, alone)
+		t.Errorf("instance 2 acts differently among others:\n%v\nalone:\n%v", together, alone)
 	}
 }
--- a/internal/proxy/simwire/values.go
+++ b/internal/proxy/simwire/values.go
@@ -12,7 +12,7 @@
 	"cresshub/balance"
 )
 
-// decodeSeed reads any whole number of 64 bits, with or without a sign.
+// decodeSeed reads any 64-bit integer, signed or unsigned.
 func decodeSeed(j *jx.Decoder) (uint64, error) {
 	n, err := j.Num()
 	if err != nil {
@@ -25,7 +25,7 @@
 	return uint64(i), err
 }
 
-// decodeCount reads a whole number from 0 on.
+// decodeCount reads an integer that is not negative.
 func decodeCount(j *jx.Decoder) (int, error) {
 	n, err := j.Int()
 	if err == nil && n < 0 {
@@ -70,7 +70,7 @@
 	b, err := j.StrBytes()
 	v, ok := values[string(b)]
 	if err == nil && !ok {
-		err = fmt.Errorf("unknown word %q", b)
+		err = fmt.Errorf("unknown value %q", b)
 	}
 	return v, err
 }
