--- a/internal/proxy/adminapi/calls.go
+++ b/internal/proxy/adminapi/calls.go
@@ -11,24 +11,25 @@
 	"cresshub/internal/http1"
 )
 
-// endpoint is what responds to calls of one path.
+// endpoint handles the calls to one path.
 type endpoint struct {
 	method  string
 	respond func(query string) *http1.Response // query is the target's part after "?"
 }
 
-// HandleGet adds the call GET path, whose response is what read returns for the query's parameters, as JSON.
-// It must be called before Serve. read is called from any goroutine, also from several at once.
+// HandleGet adds the call GET path. Its response is the value, as JSON, that read returns for the query's
+// parameters. HandleGet must be called before Serve. Several goroutines may call read at once.
 func (s *Server) HandleGet(path string, read func(url.Values) any) {
 	s.added[path] = endpoint{http.MethodGet, jsonEndpoint(read)}
 }
 
-// HandlePost is HandleGet for POST path, a call with an effect: act does what the query's parameters say.
+// HandlePost is HandleGet for POST path, a call with an effect: act performs it by the query's parameters and
+// returns the value of the response.
 func (s *Server) HandlePost(path string, act func(url.Values) any) {
 	s.added[path] = endpoint{http.MethodPost, jsonEndpoint(act)}
 }
 
-// respond returns the response to a call, by its path and method.
+// respond returns the response to a call, which depends on its path and method.
 func (s *Server) respond(request *http1.Request) *http1.Response {
 	path, query, _ := strings.Cut(request.Target, "?")
 	endpoint, ok := s.added[path]
@@ -47,7 +48,7 @@
 	return endpoint.respond(query)
 }
 
-// addedList names the added calls, each after a comma.
+// addedList returns the added calls by method and path, with a comma before each.
 func (s *Server) addedList() string {
 	var out strings.Builder
 	for _, path := range slices.Sorted(maps.Keys(s.added)) {
@@ -58,8 +59,8 @@
 
 // ready responds to the readiness check.
 func (s *Server) ready(string) *http1.Response {
-	if ok, why := s.proxy.Ready(); !ok {
-		return textResponse(http1.StatusServiceUnavailable, why)
+	if ok, reason := s.proxy.Ready(); !ok {
+		return textResponse(http1.StatusServiceUnavailable, reason)
 	}
 	return textResponse(http1.StatusOK, "ready")
 }
@@ -71,7 +72,7 @@
 	return textResponse(http1.StatusOK, strings.TrimSuffix(text.String(), "\n"))
 }
 
-// lameDuck returns what responds to the call that begins or ends a drain.
+// lameDuck returns the handler of the call that begins or ends a drain.
 func (s *Server) lameDuck(on bool) func(string) *http1.Response {
 	return func(string) *http1.Response {
 		s.log.Info("admin: lame duck", "on", on)
@@ -80,7 +81,8 @@
 	}
 }
 
-// jsonEndpoint returns what responds with the JSON of what call returns for the query's parameters.
+// jsonEndpoint returns a handler that calls call with the query's parameters and responds with its result as
+// JSON.
 func jsonEndpoint(call func(url.Values) any) func(string) *http1.Response {
 	return func(query string) *http1.Response {
 		params, err := url.ParseQuery(query)
@@ -98,7 +100,7 @@
 	}
 }
 
-// textResponse returns a response of one line of text.
+// textResponse returns a response with one line of text.
 func textResponse(status int, text string) *http1.Response {
 	return &http1.Response{
 		Status: status, Body: []byte(text + "\n"),
--- a/internal/proxy/adminapi/server.go
+++ b/internal/proxy/adminapi/server.go
@@ -1,9 +1,9 @@
-// Package adminapi is the admin API of the client proxy: HTTP calls of operators at an address of their own.
-// They get responses however many clients the proxy has, because its connections have descriptors set aside.
+// Package adminapi is the admin API of the client proxy: HTTP calls of operators at a separate address. They
+// get responses however many clients the proxy has, because descriptors are reserved for their connections.
 //
-// GET /_ready, GET /_vars, POST /_lameduck/on and POST /_lameduck/off are always there. Other parts (the
-// fleet's view, the ledger, the singleton roles) add calls with HandleGet and HandlePost before Serve, whose
-// responses are JSON. Each connection is for one call.
+// GET /_ready, GET /_vars, POST /_lameduck/on and POST /_lameduck/off are always available. Other components
+// (the fleet's view, the ledger, the singleton roles) add calls, whose responses are JSON, with HandleGet and
+// HandlePost before Serve. Each connection is for one call.
 package adminapi
 
 import (
@@ -23,23 +23,23 @@
 	"cresshub/internal/proxy/stats"
 )
 
-// MaxConns is how many connections may be open at once, and so how many descriptors the daemon sets aside for
-// them. For one more, the oldest that has sent no call yet is closed.
+// MaxConns is how many connections may be open at once, and so how many descriptors the daemon reserves for
+// them. When one more is accepted, the oldest that has sent no call yet is closed.
 const MaxConns = 16
 
 const (
-	callTimeout   = 5 * time.Second        // to receive a call's head, and then to send the response
-	lingerTimeout = 200 * time.Millisecond // to read and drop bytes after the head
+	callTimeout   = 5 * time.Second        // for receiving a call's head, and again for sending the response
+	lingerTimeout = 200 * time.Millisecond // for reading and discarding bytes after the head
 	acceptBackoff = 5 * time.Millisecond   // wait after a failed accept
 )
 
-// Proxy is what the calls read and change. Its methods are called from any goroutine.
+// Proxy is the proxy whose state the calls read and change. Its methods are called from any goroutine.
 type Proxy interface {
-	// Ready reports whether the process is ready to serve clients, and why not.
-	Ready() (ready bool, why string)
+	// Ready reports whether the process is ready to serve clients, and if not, the reason.
+	Ready() (ready bool, reason string)
 	// LameDuck begins or ends a temporary drain.
 	LameDuck(on bool)
-	// Gauges returns the present values of gauges, by name.
+	// Gauges returns the current values of gauges, by name.
 	Gauges() map[string]int
 }
 
@@ -51,7 +51,7 @@
 	listener net.Listener
 
 	builtin map[string]endpoint // by path; read-only after New
-	added   map[string]endpoint // by path; read-only after Serve began
+	added   map[string]endpoint // by path; read-only once Serve is called
 
 	mu    sync.Mutex
 	conns []*conn // the oldest first
@@ -60,10 +60,10 @@
 // conn is one open connection.
 type conn struct {
 	*connbuffer.Conn
-	headRead bool // its call was read, so it is not closed for a newer one; guarded by Server.mu
+	headRead bool // its call was read, so others are closed first at MaxConns; guarded by Server.mu
 }
 
-// New returns a server of the admin API at a listener; Serve begins to accept.
+// New returns a server of the admin API at a listener. It accepts no connections before Serve.
 func New(listener net.Listener, proxy Proxy, counters *stats.Set, log *slog.Logger) *Server {
 	s := &Server{proxy: proxy, stats: counters, log: log, listener: listener, added: map[string]endpoint{}}
 	s.builtin = map[string]endpoint{
@@ -75,7 +75,7 @@
 	return s
 }
 
-// Address is where operators connect.
+// Address returns the address at which operators connect.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Serve accepts connections until Close.
@@ -96,11 +96,11 @@
 	}
 }
 
-// Close closes the listener. Calls that have come still get their responses.
+// Close closes the listener. Calls on accepted connections still get their responses.
 func (s *Server) Close() { s.listener.Close() }
 
 // addConn adds a connection to the list. At MaxConns it closes the oldest one that has sent no call, so that
-// callers who connect and send nothing don't block the others; if all have sent one, it closes the oldest.
+// callers that connect and send nothing don't block the others; if all have sent one, it closes the oldest.
 func (s *Server) addConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,6 +150,6 @@
 	// Closing with unread bytes sends a reset, which could overtake the response.
 	if tcp, ok := c.Conn.Conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(lingerTimeout))
-		_, _ = io.CopyN(io.Discard, c.In, http1.MaxBufferedBody) // until the client closes, or either limit
+		_, _ = io.CopyN(io.Discard, c.In, http1.MaxBufferedBody) // until the client closes or a limit is reached
 	}
 }
--- a/internal/proxy/adminapi/server_test.go
+++ b/internal/proxy/adminapi/server_test.go
@@ -17,26 +17,26 @@
 )
 
 type fakeProxy struct {
-	lame  atomic.Bool
-	calls atomic.Int64
+	draining      atomic.Bool
+	lameDuckCalls atomic.Int64
 }
 
-func (p *fakeProxy) Ready() (bool, string)  { return !p.lame.Load(), "lame" }
-func (p *fakeProxy) LameDuck(on bool)       { p.lame.Store(on); p.calls.Add(1) }
+func (p *fakeProxy) Ready() (bool, string)  { return !p.draining.Load(), "lame" }
+func (p *fakeProxy) LameDuck(on bool)       { p.draining.Store(on); p.lameDuckCalls.Add(1) }
 func (p *fakeProxy) Gauges() map[string]int { return map[string]int{"known_zone_servers": 3} }
 
-// serve starts an admin API and returns its proxy, its counters and its address.
+// serve starts an admin API server and returns its proxy, its counters and its address.
 func serve(t *testing.T) (*fakeProxy, *stats.Set, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, count := &fakeProxy{}, stats.New([]string{"lookup"})
-	s := New(l, p, count, slog.New(slog.DiscardHandler))
+	p, counters := &fakeProxy{}, stats.New([]string{"lookup"})
+	s := New(l, p, counters, slog.New(slog.DiscardHandler))
 	go s.Serve()
 	t.Cleanup(s.Close)
-	return p, count, l.Addr().String()
+	return p, counters, l.Addr().String()
 }
 
 func call(t *testing.T, address, line string) *http1.Response {
@@ -45,10 +45,10 @@
 }
 
 func TestBuiltInCalls(t *testing.T) {
-	p, _, at := serve(t)
+	p, _, address := serve(t)
 	for _, c := range []struct {
 		text, want string
-		lame       bool
+		draining   bool
 	}{
 		{"GET /_ready", "200 ready\n", false},
 		{"POST /_lameduck/on", "200 done\n", true},
@@ -61,56 +61,56 @@
 		{"GET /health/ready", "404 ", false},
 		{"GET /_lameduck", "404 ", false},
 		{"nonsense", "400 ", false},
-		// A body is not read, and does not turn the answer into a reset.
+		// A body is not read, and the client gets the response rather than a connection reset.
 		{"POST /_lameduck/off HTTP/1.1\r\nContent-Length: 9000000\r\nA:", "200 done\n", false},
 		{"GET /_vars HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 9000) + "A:", "431 ", false},
 	} {
-		a := call(t, at, c.text)
-		if got := fmt.Sprint(a.Status, " ", string(a.Body)); !strings.HasPrefix(got, c.want) || !a.Close {
-			t.Errorf("%.40q: %q, closes %v", c.text, got, a.Close)
+		r := call(t, address, c.text)
+		if got := fmt.Sprint(r.Status, " ", string(r.Body)); !strings.HasPrefix(got, c.want) || !r.Close {
+			t.Errorf("%.40q: %q, closes %v", c.text, got, r.Close)
 		}
-		if a.Status == 405 && a.Header.Get("Allow") == "" {
-			t.Errorf("%s: no Allow", c.text)
+		if r.Status == 405 && r.Header.Get("Allow") == "" {
+			t.Errorf("%s: no Allow header", c.text)
 		}
-		if p.lame.Load() != c.lame {
-			t.Errorf("%s: lame %v", c.text, p.lame.Load())
+		if p.draining.Load() != c.draining {
+			t.Errorf("%s: draining %v", c.text, p.draining.Load())
 		}
 	}
-	if p.calls.Load() != 5 {
-		t.Errorf("%d calls of lame duck came through", p.calls.Load())
+	if p.lameDuckCalls.Load() != 5 {
+		t.Errorf("%d calls reached LameDuck, want 5", p.lameDuckCalls.Load())
 	}
 }
 
-func TestVarsHasEveryFigureOnItsLine(t *testing.T) {
-	_, count, at := serve(t)
-	count.Class(0).Passed.Inc()
-	count.Class(0).Dropped.Inc()
-	count.Class(7).Failed.Inc() // no such class: in no figure
-	count.RequestsSent.Inc()
-	count.InProgress.Add(2)
+func TestVarsHasEveryMetricOnALineOfItsOwn(t *testing.T) {
+	_, counters, address := serve(t)
+	counters.Class(0).Passed.Inc()
+	counters.Class(0).Dropped.Inc()
+	counters.Class(7).Failed.Inc() // no such class, so no metric counts it
+	counters.RequestsSent.Inc()
+	counters.InProgress.Add(2)
 	want := "proxy.handled.lookup.passed:1|c\nproxy.handled.lookup.dropped:1|c\n" +
 		"proxy.handled.lookup.bad_gateway:0|c\nproxy.upstream_tries:1|c\nproxy.in_progress:2|g\n" +
 		"proxy.known_zone_servers:3|g\n"
-	if diff := cmp.Diff(want, string(call(t, at, "GET /_vars").Body)); diff != "" {
+	if diff := cmp.Diff(want, string(call(t, address, "GET /_vars").Body)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Callers that connect and send nothing keep nobody out, and no more than MaxConns stay open.
-func TestCallersThatSendNothingKeepNobodyOut(t *testing.T) {
-	_, _, at := serve(t)
+// Connections on which nothing is sent don't block other callers, and no more than MaxConns stay open.
+func TestSilentConnectionsDoNotBlockOtherCallers(t *testing.T) {
+	_, _, address := serve(t)
 	for range 5 * MaxConns {
-		nettest.Dial(t, at)
-		if a := call(t, at, "GET /_ready"); a.Status != 200 {
-			t.Fatalf("status %d", a.Status)
+		nettest.Dial(t, address)
+		if response := call(t, address, "GET /_ready"); response.Status != 200 {
+			t.Fatalf("status %d", response.Status)
 		}
 	}
-	// The first ones were closed for those that came later.
-	first := nettest.Dial(t, at)
+	// The oldest connection is closed once MaxConns newer ones are open.
+	oldest := nettest.Dial(t, address)
 	for range MaxConns {
-		nettest.Dial(t, at)
+		nettest.Dial(t, address)
 	}
-	if _, err := io.ReadAll(first); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the oldest silent caller was kept: %v", err)
+	if _, err := io.ReadAll(oldest); err != nil && !strings.Contains(err.Error(), "reset") {
+		t.Errorf("the oldest silent connection stayed open: %v", err)
 	}
 }
