--- a/internal/proxy/cli/admin.go
+++ b/internal/proxy/cli/admin.go
@@ -9,21 +9,22 @@
 	"github.com/spf13/cobra"
 )
 
-// adminTimeout bounds one call to the admin API, which responds within a second.
+// adminTimeout limits one call to the admin API, which responds within a second.
 const adminTimeout = 2 * time.Second
 
-// addAdminFlag adds the flag --door, which has the address of a proxy's admin API.
+// addAdminFlag adds the flag --door, whose value is the address of a proxy's admin API.
 func addAdminFlag(c *cobra.Command, address *string) {
-	c.Flags().StringVar(address, "door", "127.0.0.1:9901", "host and port of the proxy's admin address")
+	c.Flags().StringVar(address, "door", "127.0.0.1:9901", "host and port of the proxy's admin API")
 }
 
-// getPage reads a page of a proxy's admin API into the value that into points to. missing completes the error
-// "the proxy at ADDRESS ..." about a proxy without that page.
+// getPage decodes a page of a proxy's admin API into the value that into points to. missing completes the
+// error "the proxy at ADDRESS ..." for a proxy that does not have that page.
 func getPage(address, path, missing string, into any) error {
 	return callAdmin(http.MethodGet, address, path, missing, into)
 }
 
-// callAdmin makes a call to a proxy's admin API and decodes its JSON response, within adminTimeout.
+// callAdmin sends a request to a proxy's admin API and decodes the JSON response into the value that into
+// points to, within adminTimeout. For missing, see getPage.
 func callAdmin(method, address, path, missing string, into any) error {
 	client := http.Client{Timeout: adminTimeout}
 	request, err := http.NewRequest(method, "http://"+address+path, nil)
@@ -32,7 +33,7 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return fmt.Errorf("the admin address %s: %w", address, err)
+		return fmt.Errorf("calling the admin API at %s: %w", address, err)
 	}
 	defer response.Body.Close()
 	switch response.StatusCode {
@@ -40,10 +41,10 @@
 	case http.StatusNotFound:
 		return fmt.Errorf("the proxy at %s %s", address, missing)
 	default:
-		return fmt.Errorf("the admin address %s answered %s", address, response.Status)
+		return fmt.Errorf("calling the admin API at %s: unexpected status %s", address, response.Status)
 	}
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
-		return fmt.Errorf("the admin address %s: its page does not decode: %w", address, err)
+		return fmt.Errorf("decoding the response of the admin API at %s: %w", address, err)
 	}
 	return nil
 }
--- a/internal/proxy/cli/cli_test.go
+++ b/internal/proxy/cli/cli_test.go
@@ -15,7 +15,7 @@
 	"cresshub/internal/testbed/proxystandin"
 )
 
-// Every command says what it is for and shows how it is called; examples name commands that are there.
+// Every command has a description and an example, and the examples call commands and flags that exist.
 func TestEveryCommandHasHelpAndWorkingExamples(t *testing.T) {
 	root := newRoot(nil)
 	RejectBareGroups(root)
@@ -32,11 +32,11 @@
 			args := strings.Fields(line)
 			found, rest, err := root.Find(args[1:])
 			if args[0] != "cresshub" || err != nil || found == root {
-				t.Errorf("%s: example %q calls nothing: %v", c.CommandPath(), line, err)
+				t.Errorf("%s: example %q calls no subcommand: %v", c.CommandPath(), line, err)
 				continue
 			}
 			if found.DisableFlagParsing {
-				continue // another program reads them
+				continue // cresshub-lab parses these arguments
 			}
 			if err := found.ParseFlags(rest); err != nil {
 				t.Errorf("%s: example %q: %v", c.CommandPath(), line, err)
@@ -49,14 +49,14 @@
 	walk(root)
 }
 
-// With the platform's variables the check rejects what proxies would send each other, each part by its key;
-// without them the same file is valid.
-func TestConfigCheckOnThePlatformRejectsTrafficBetweenProxies(t *testing.T) {
+// Where EDGE_CONFIG is set, "config check" rejects each key that has proxies send traffic to each other,
+// and names the key; without the variable the same file is valid.
+func TestConfigCheckOnPlatformRejectsTrafficBetweenProxies(t *testing.T) {
 	platform := `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":64,"sockets":1024},"known":null,"settings":{"azs":["a"],"kinds":["m"],
 		"balancers":4,"rank":2,"grades":[{"name":"lookup","aim-ms":100,"deadline-ms":500,"effect":"idempotent",
 		"value":1}],"tick-ms":5}}`
-	own := `[discovery]
+	tomlFile := `[discovery]
 address = "127.0.0.1:8500"
 [fleet]
 bind = "127.0.0.1:1"
@@ -72,8 +72,8 @@
 effect = "idempotent"
 `
 	dir := t.TempDir()
-	p, f := filepath.Join(dir, "p.json"), filepath.Join(dir, "c.toml")
-	for path, text := range map[string]string{p: platform, f: own} {
+	platformPath, tomlPath := filepath.Join(dir, "p.json"), filepath.Join(dir, "c.toml")
+	for path, text := range map[string]string{platformPath: platform, tomlPath: tomlFile} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -83,25 +83,26 @@
 		c := newRoot(nil)
 		c.SetOut(&out)
 		c.SetErr(&out)
-		c.SetArgs([]string{"config", "check", f})
+		c.SetArgs([]string{"config", "check", tomlPath})
 		err := c.Execute()
 		return out.String(), err
 	}
 	t.Setenv("EDGE_CONFIG", "")
 	if out, err := check(); err != nil {
-		t.Fatalf("without the platform: %v\n%s", err, out)
+		t.Fatalf("without EDGE_CONFIG: %v\n%s", err, out)
 	}
-	t.Setenv("EDGE_CONFIG", p)
+	t.Setenv("EDGE_CONFIG", platformPath)
 	out, err := check()
 	for _, key := range []string{"fleet.bind", "ledger.bind", "owner.chores"} {
 		if err == nil || !strings.Contains(out, key+": the platform bars talk among proxies") {
-			t.Errorf("%s is not refused: %v\n%s", key, err, out)
+			t.Errorf("%s is not rejected: %v\n%s", key, err, out)
 		}
 	}
 }
 
-// What commands print as text has these names, whatever the fields are called.
-func TestNamesOfPrintedCountsStay(t *testing.T) {
+// Commands print counters as text under these names, which scripts read and which are independent of the
+// names of the Go fields.
+func TestNamesOfPrintedCountsAreStable(t *testing.T) {
 	var out bytes.Buffer
 	counts := proxystandin.ZoneCounts{Requests: 1, Rejected: 3, Overloaded: 8}
 	if err := printZoneCounts(&out, counts); err != nil {
@@ -116,7 +117,8 @@
 		"Suspected:0 " +
 		"Refutations:0 Refuted:0 Asked:0 PacketsIn:0 PacketsOut:0 StreamsIn:0 StreamsOut:0 BytesIn:0 BytesOut:0 " +
 		"WireRefused:0 OtherLabel:0}"
-	if diff := cmp.Diff(want, fmt.Sprintf("%+v", gossip.Counters{})); diff != "" { // as fleet members prints it
+	// "fleet members" prints the counters in this format.
+	if diff := cmp.Diff(want, fmt.Sprintf("%+v", gossip.Counters{})); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/proxy/cli/config.go
+++ b/internal/proxy/cli/config.go
@@ -28,10 +28,10 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Tell all mistakes of a file, a line each",
-		Long: "Tells all mistakes of a file, each as FILE:LINE: key: message, and ends with 1 if there are any.\n" +
-			"Variables are left aside, but for the platform's: where EDGE_CONFIG is set the file is held to\n" +
-			"what the platform allows. A file that ends in .json is read as the platform's.",
+		Short: "Print all mistakes in a file, one per line",
+		Long: "Prints all mistakes in a file, each as FILE:LINE: key: message; if there are any, exits with 1.\n" +
+			"Only the platform's variables are read: where EDGE_CONFIG is set, the file is checked against\n" +
+			"what the platform allows. A file whose name ends in .json is read as the platform's file.",
 		Example: "  cresshub config check cresshub.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -54,11 +54,11 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print the mistakes as one JSON list")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the mistakes as one JSON array")
 	return c
 }
 
-// printProblems prints mistakes, a line each or as one JSON list.
+// printProblems prints mistakes, one per line or as one JSON array.
 func printProblems(w io.Writer, problems settingsfile.SettingErrors, asJSON bool) error {
 	if !asJSON {
 		if len(problems) == 0 {
@@ -80,7 +80,8 @@
 	return printJSON(w, rows)
 }
 
-// platformVariables returns the platform's environment variables, where it has set them.
+// platformVariables returns the environment variables of the platform, which begin with EDGE_; nil where
+// EDGE_CONFIG is not set.
 func platformVariables() []string {
 	if os.Getenv("EDGE_CONFIG") == "" {
 		return nil
@@ -93,9 +94,9 @@
 	var asJSON, all bool
 	c := &cobra.Command{
 		Use:   "show",
-		Short: "Print the values in force and where each comes from",
-		Long: "Prints the values in force, and for each whether it is a default or which file and line,\n" +
-			"variable or flag set it. Without --all, keys at their default are left out of the table.",
+		Short: "Print the effective values and the source of each",
+		Long: "Prints the effective values, and for each whether it is a default or which file and line,\n" +
+			"environment variable or flag set it. Without --all, the table omits keys at their default.",
 		Example: "  cresshub config show -c cresshub.toml\n  cresshub config show -c cresshub.toml --json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -117,8 +118,8 @@
 		},
 	}
 	from.register(c)
-	c.Flags().BoolVar(&asJSON, "json", false, "print all keys as one JSON list")
-	c.Flags().BoolVar(&all, "all", false, "also keys at their default")
+	c.Flags().BoolVar(&asJSON, "json", false, "print all keys as one JSON array")
+	c.Flags().BoolVar(&all, "all", false, "include keys at their default in the table")
 	return c
 }
 
@@ -126,7 +127,7 @@
 	var output string
 	c := &cobra.Command{
 		Use:     "docs",
-		Short:   "Write the reference page of all keys",
+		Short:   "Write the reference page of all configuration keys",
 		Example: "  cresshub config docs\n  cresshub config docs --output -",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -141,20 +142,21 @@
 	var force bool
 	c := &cobra.Command{
 		Use:   "init [FILE]",
-		Short: "Write a configuration to begin with",
-		Long: "Writes a file with all keys, their meaning and their defaults, cresshub.toml if none is\n" +
-			"named. A file that is there stays unless --force is given; - writes to standard output.",
+		Short: "Write an initial configuration file",
+		Long: "Writes a file with all keys, their descriptions and their defaults. FILE is cresshub.toml unless\n" +
+			"given; - writes to standard output. An existing file is replaced only with --force.",
 		Example: "  cresshub config init\n  cresshub config init -",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return writeFile(c.OutOrStdout(), append(args, "cresshub.toml")[0], config.InitialFile(), force)
 		},
 	}
-	c.Flags().BoolVar(&force, "force", false, "replace a file that is there")
+	c.Flags().BoolVar(&force, "force", false, "replace an existing file")
 	return c
 }
 
-// writeFile writes text to a file, or to w where the path is "-".
+// writeFile writes text to a file, or to w where the path is "-". Unless replace is set, it fails if the file
+// exists.
 func writeFile(w io.Writer, path, text string, replace bool) error {
 	if path == "-" {
 		_, err := io.WriteString(w, text)
--- a/internal/proxy/cli/fleet.go
+++ b/internal/proxy/cli/fleet.go
@@ -10,16 +10,16 @@
 )
 
 func newFleet() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "Ask a running proxy for its view of the fleet of proxies",
+	c := &cobra.Command{Use: "fleet", Short: "Show a running proxy's view of the fleet of proxies",
 		Example: "  cresshub fleet members --door 127.0.0.1:9901 --json"}
 	var adminAddress string
 	var asJSON bool
 	members := &cobra.Command{
-		Use: "members", Short: "Print each member as this proxy sees it: state, age, incarnation",
+		Use: "members", Short: "Print each member as this proxy sees it: state, time in that state, incarnation",
 		Example: "  cresshub fleet members --door 127.0.0.1:9901", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var page gossip.Page
-			err := getPage(adminAddress, "/_fleet", "keeps no view of a fleet (fleet.bind is empty there)", &page)
+			err := getPage(adminAddress, "/_fleet", "is not a member of a fleet (its fleet.bind is empty)", &page)
 			if err != nil {
 				return err
 			}
--- a/internal/proxy/cli/ledger.go
+++ b/internal/proxy/cli/ledger.go
@@ -12,17 +12,18 @@
 	"cresshub/internal/proxy/daemon"
 )
 
-// ledgerMissing completes an error about a proxy without a ledger; see getPage.
-const ledgerMissing = "holds no ledger (ledger.bind is empty there)"
+// ledgerMissing completes the error for a proxy without a ledger; see getPage.
+const ledgerMissing = "has no ledger (its ledger.bind is empty)"
 
 func newLedger() *cobra.Command {
-	c := &cobra.Command{Use: "ledger", Short: "Ask a running proxy for the ledger of use by tenant",
+	c := &cobra.Command{
+		Use: "ledger", Short: "Show or correct the ledger of usage by tenant, by a running proxy",
 		Example: "  cresshub ledger show --door 127.0.0.1:9901 --tenant ramen-kita"}
 	var adminAddress, tenant string
 	var period uint64
 	var asJSON bool
 	show := &cobra.Command{
-		Use: "show", Short: "Print counts and bytes by period, tenant, class and answer, and what is unpromised",
+		Use: "show", Short: "Print usage by period, tenant, class and answer, and what is not yet committed",
 		Example: "  cresshub ledger show --door 127.0.0.1:9901 --period 12", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			query := url.Values{}
@@ -44,8 +45,8 @@
 	}
 	addAdminFlag(show, &adminAddress)
 	f := show.Flags()
-	f.StringVar(&tenant, "tenant", "", "this tenant alone")
-	f.Uint64Var(&period, "period", 0, "this period alone")
+	f.StringVar(&tenant, "tenant", "", "show only this tenant")
+	f.Uint64Var(&period, "period", 0, "show only this period")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.AddCommand(show, newLedgerCorrect())
 	return c
@@ -54,9 +55,9 @@
 func newLedgerCorrect() *cobra.Command {
 	var adminAddress, id, tenant, class, answer, reason string
 	var period uint64
-	var n, in, out int64
+	var n, bytesIn, bytesOut int64
 	c := &cobra.Command{
-		Use: "correct", Short: "Enter a correction against a closed period; the same id counts once",
+		Use: "correct", Short: "Record a correction to a closed period; the same id counts once",
 		Example: "  cresshub ledger correct --id ticket-7 --period 12 --tenant ramen-kita --class zone-lookup " +
 			"--answer passed --n -3 --reason refund",
 		Args: cobra.NoArgs,
@@ -64,7 +65,9 @@
 			query := url.Values{
 				"id": {id}, "tenant": {tenant}, "class": {class}, "answer": {answer}, "reason": {reason},
 			}
-			for key, v := range map[string]int64{"period": int64(period), "n": n, "bytes_in": in, "bytes_out": out} {
+			for key, v := range map[string]int64{
+				"period": int64(period), "n": n, "bytes_in": bytesIn, "bytes_out": bytesOut,
+			} {
 				query.Set(key, fmt.Sprint(v))
 			}
 			path := "/_ledger/correct?" + query.Encode()
@@ -81,19 +84,19 @@
 	}
 	addAdminFlag(c, &adminAddress)
 	f := c.Flags()
-	f.StringVar(&id, "id", "", "name of the correction; one that is there already is not entered again")
+	f.StringVar(&id, "id", "", "unique id; a correction whose id the ledger has already is ignored")
 	f.StringVar(&tenant, "tenant", "", "tenant")
 	f.StringVar(&class, "class", "", "class")
-	f.StringVar(&answer, "answer", "", "passed, dropped or bad_gateway")
+	f.StringVar(&answer, "answer", "", "outcome of the requests: passed, dropped or bad_gateway")
 	f.StringVar(&reason, "reason", "", "why")
-	f.Uint64Var(&period, "period", 0, "a closed period")
-	f.Int64Var(&n, "n", 0, "answers more, or less")
-	f.Int64Var(&in, "bytes-in", 0, "bytes from clients more, or less")
-	f.Int64Var(&out, "bytes-out", 0, "bytes to clients more, or less")
+	f.Uint64Var(&period, "period", 0, "id of the closed period")
+	f.Int64Var(&n, "n", 0, "change of the number of answers; may be negative")
+	f.Int64Var(&bytesIn, "bytes-in", 0, "change of the bytes from clients; may be negative")
+	f.Int64Var(&bytesOut, "bytes-out", 0, "change of the bytes to clients; may be negative")
 	return c
 }
 
-// printLedger prints the page as tables, and returns an error if it has no ledger.
+// printLedger prints the page as tables, and returns an error if the proxy could not read the ledger.
 func printLedger(c *cobra.Command, page *daemon.LedgerPage) error {
 	w := newTable(c.OutOrStdout(), 0)
 	if v := page.Ledger; v != nil {
@@ -109,23 +112,23 @@
 			}
 		}
 	}
-	group, here := &page.Group, &page.Here
+	group, local := &page.Group, &page.Here
 	w.println("\nGROUP\tROLE HERE\tLEADER\tTERM\tAPPLIED\tVOTERS\tLEARNERS")
 	w.printf("%s\t%s\t%s\t%d\t%d\t%s\t%s\n", group.Group, group.Role, group.Leader,
 		group.Term, group.Applied, strings.Join(group.Voters, " "), strings.Join(group.Learners, " "))
 	w.println("\nCOUNTED HERE\tPROMISED\tWAITING\tIN MEMORY\tOLDEST\tLOST\tCOMMIT P99")
-	w.printf("%d\t%d\t%d\t%d\t%d ms\t%d\t%.1f ms\n", here.Counted, here.Committed, here.Queued,
-		here.InMemory, here.OldestMS, here.Lost, here.CommitP99MS)
+	w.printf("%d\t%d\t%d\t%d\t%d ms\t%d\t%.1f ms\n", local.Counted, local.Committed, local.Queued,
+		local.InMemory, local.OldestMS, local.Lost, local.CommitP99MS)
 	if err := w.flush(); err != nil {
 		return err
 	}
 	if group.Stalled != "" {
-		if _, err := fmt.Fprintln(c.OutOrStdout(), "this replica stands still:", group.Stalled); err != nil {
+		if _, err := fmt.Fprintln(c.OutOrStdout(), "this replica is stalled:", group.Stalled); err != nil {
 			return err
 		}
 	}
 	if page.Problem != "" {
-		return fmt.Errorf("the ledger could not be read: %s", page.Problem)
+		return fmt.Errorf("the proxy could not read the ledger: %s", page.Problem)
 	}
 	return nil
 }
--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -11,16 +11,16 @@
 
 func newOwner() *cobra.Command {
 	c := &cobra.Command{
-		Use: "owner", Short: "Ask a running proxy who owns the fleet's singleton roles, and their state",
+		Use: "owner", Short: "Show who owns the fleet's singleton roles, as a running proxy sees it",
 		Example: "  cresshub owner status --door 127.0.0.1:9901"}
 	var adminAddress string
 	var asJSON bool
 	status := &cobra.Command{
-		Use: "status", Short: "Print the owner, its token, what is left of its lease, and each role's last run",
+		Use: "status", Short: "Print the owner, its token, the remaining lease time, and each role's last run",
 		Example: "  cresshub owner status --door 127.0.0.1:9901 --json", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var p leaseholder.Page
-			err := getPage(adminAddress, "/_owner", "has no singleton roles (owner.chores is empty there)", &p)
+			err := getPage(adminAddress, "/_owner", "has no singleton roles (its owner.chores is empty)", &p)
 			if err != nil {
 				return err
 			}
@@ -36,11 +36,11 @@
 	return c
 }
 
-// printOwner prints the page as tables, and returns an error if the store could not be read.
+// printOwner prints the page as tables, and returns an error if the proxy could not read the store.
 func printOwner(c *cobra.Command, p *leaseholder.Page) error {
 	w := newTable(c.OutOrStdout(), 0)
-	const elsewhere = "known there alone"
-	holder, owned, left := p.Holder, elsewhere, elsewhere
+	const unknown = "known to the owner only"
+	holder, owned, left := p.Holder, unknown, unknown
 	if holder == "" {
 		holder = "(nobody)"
 	}
@@ -68,17 +68,17 @@
 		if l.FromOwner {
 			from = "the owner"
 		}
-		w.printf("\nthe list here comes from %s; an owner published it %d ms ago\n", from, l.AgeMS)
+		w.printf("\nthis proxy uses the list of %s; it saw the last list of an owner %d ms ago\n", from, l.AgeMS)
 	}
-	f := &p.Stats
+	stats := &p.Stats
 	w.println("\nLEASES HERE\tLOST\tGIVEN BACK\tCALLS\tREFUSED\tFAILED\tENTRIES\tREPEATED\tRESUMED")
-	w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", f.Grants, f.Losses, f.Resigned, f.Calls, f.RejectedCalls,
-		f.FailedCalls, f.Entries, f.Duplicates, f.Resumed)
+	w.printf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", stats.Grants, stats.Losses, stats.Resigned, stats.Calls,
+		stats.RejectedCalls, stats.FailedCalls, stats.Entries, stats.Duplicates, stats.Resumed)
 	if err := w.flush(); err != nil {
 		return err
 	}
 	if p.Problem != "" {
-		return fmt.Errorf("the store could not be read: %s", p.Problem)
+		return fmt.Errorf("the proxy could not read the store: %s", p.Problem)
 	}
 	return nil
 }
--- a/internal/proxy/cli/root.go
+++ b/internal/proxy/cli/root.go
@@ -1,8 +1,8 @@
-// Package cli is the command line of cresshub: a root command and its sub-commands, in a file for each
-// (Cobra). The exit status is 0 for success, 1 for a command that failed and 2 for one that is used wrongly.
-// Results go to standard output, with --json as one JSON value; errors are one line each on standard error.
+// Package cli implements the command line of cresshub with Cobra: a root command and its subcommands, in a
+// file for each. The exit status is 0 for success, 1 for a command that failed and 2 for wrong usage. Results
+// go to standard output, with --json as one JSON value; errors go to standard error, one per line.
 //
-// The laboratory's command line shares Execute, RejectBareGroups and UsageErrorf.
+// The command line of the laboratory shares Execute, RejectBareGroups and UsageErrorf.
 package cli
 
 import (
@@ -17,31 +17,32 @@
 	"cresshub/internal/proxy/config"
 )
 
-// usageError is the error of a command that is used wrongly.
+// usageError is the error of a command that is called with wrong arguments or flags.
 type usageError struct{ error }
 
-// UsageErrorf returns the error of a command that is used wrongly, which ends with exitUsage.
+// UsageErrorf returns an error for wrong arguments or flags, for which Execute returns the exit status 2.
 func UsageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// errReported is the error of a command that has printed its failure itself.
+// errReported is the error of a command that has printed the cause of its failure; Execute prints nothing.
 var errReported = errors.New("already reported")
 
-// The exit statuses.
+// Exit statuses.
 const (
-	exitDone   = 0
-	exitFailed = 1
-	exitUsage  = 2
+	exitSuccess = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 // Main runs the program with its arguments and returns its exit status.
 func Main(args []string, signals <-chan os.Signal, stdout, stderr io.Writer) int {
 	if len(args) == 0 && os.Getenv("EDGE_CONFIG") != "" {
-		args = []string{"serve"} // the platform gives no arguments
+		args = []string{"serve"} // the platform starts the proxy without arguments
 	}
 	return Execute(newRoot(signals), args, stdout, stderr)
 }
 
-// Execute runs a tree of commands with arguments, prints the errors and returns the exit status.
+// Execute runs the command of the tree that the arguments select, prints its errors to stderr and returns the
+// exit status.
 func Execute(root *cobra.Command, args []string, stdout, stderr io.Writer) int {
 	RejectBareGroups(root)
 	root.SilenceErrors, root.SilenceUsage = true, true
@@ -54,9 +55,9 @@
 	var usage usageError
 	switch {
 	case err == nil:
-		return exitDone
+		return exitSuccess
 	case errors.Is(err, errReported):
-		return exitFailed
+		return exitFailure
 	case errors.As(err, &usage):
 		root.PrintErrf("%s: %v; see \"%s --help\"\n", root.Name(), err, cmd.CommandPath())
 		return exitUsage
@@ -64,17 +65,17 @@
 	for line := range strings.SplitSeq(err.Error(), "\n") {
 		root.PrintErrf("%s: %s\n", root.Name(), line)
 	}
-	return exitFailed
+	return exitFailure
 }
 
 func newRoot(signals <-chan os.Signal) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "cresshub",
-		Short: "A client proxy that chooses a server for each request from load reports and their age",
-		Long: "cresshub stands beside one copy of an application, takes its HTTP/1.1 requests and\n" +
-			"passes each to one of a fleet of zone servers. It decides from old load reports, read by\n" +
-			"their age.\n\n" +
-			"Called without a command, it serves where EDGE_CONFIG names the platform's file.",
+		Short: "A client proxy that chooses a server for each request by load reports and their age",
+		Long: "cresshub runs beside one instance of an application, accepts its HTTP/1.1 requests and\n" +
+			"forwards each to one of a fleet of zone servers. It chooses the server by load reports\n" +
+			"and takes their age into account.\n\n" +
+			"Without a command, and with EDGE_CONFIG set to the path of the platform's file, it serves.",
 		Example: "  cresshub try --for 10s\n  cresshub config init cresshub.toml\n" +
 			"  cresshub serve --config cresshub.toml",
 	}
@@ -83,9 +84,9 @@
 	return root
 }
 
-// RejectBareGroups makes wrong arguments usage errors, for a command and all below it. A command that only
-// groups others has its help printed when it is called by itself, and suggests one of them for an unknown
-// word.
+// RejectBareGroups makes wrong arguments usage errors, for a command and all its subcommands. A command that
+// only groups others prints its help when it is called without a subcommand, and suggests similar subcommands
+// for an unknown one.
 func RejectBareGroups(c *cobra.Command) {
 	for _, sub := range c.Commands() {
 		RejectBareGroups(sub)
@@ -94,9 +95,9 @@
 		if c.DisableFlagParsing {
 			return
 		}
-		args := c.Args
-		c.Args = func(c *cobra.Command, given []string) error {
-			if err := args(c, given); err != nil {
+		validate := c.Args
+		c.Args = func(c *cobra.Command, args []string) error {
+			if err := validate(c, args); err != nil {
 				return usageError{err}
 			}
 			return nil
@@ -105,8 +106,8 @@
 	}
 	c.Args = cobra.ArbitraryArgs
 	c.SuggestionsMinimumDistance = 2
-	c.RunE = func(c *cobra.Command, given []string) error {
-		if len(given) == 0 {
+	c.RunE = func(c *cobra.Command, args []string) error {
+		if len(args) == 0 {
 			c.SetOut(c.ErrOrStderr())
 			if err := c.Help(); err != nil {
 				return err
@@ -114,31 +115,31 @@
 			return UsageErrorf("a command is missing")
 		}
 		hint := ""
-		if near := c.SuggestionsFor(given[0]); len(near) > 0 {
-			hint = "; did you mean " + strings.Join(near, " or ") + "?"
+		if similar := c.SuggestionsFor(args[0]); len(similar) > 0 {
+			hint = "; did you mean " + strings.Join(similar, " or ") + "?"
 		}
-		return UsageErrorf("%q is no command%s", given[0], hint)
+		return UsageErrorf("%q is no command%s", args[0], hint)
 	}
 }
 
-// configFlags are the flags that select and override the configuration.
+// configFlags are the flags that select the configuration file and override its keys.
 type configFlags struct {
 	file, listen, discovery, name, level, format string
 	set                                          []string
 }
 
 func (f *configFlags) register(c *cobra.Command) {
-	set := c.Flags()
-	set.StringVarP(&f.file, "config", "c", "", "configuration file (CRESSHUB_CONFIG)")
-	set.StringVar(&f.listen, "listen", "", "host:port that clients connect to (listen.address)")
-	set.StringVar(&f.discovery, "discovery", "", "host:port of discovery (discovery.address)")
-	set.StringVar(&f.name, "name", "", "name of this instance (name)")
-	set.StringVar(&f.level, "log-level", "", "debug, info, warn or error (log.level)")
-	set.StringVar(&f.format, "log-format", "", "text or json (log.format)")
-	set.StringArrayVar(&f.set, "set", nil, "KEY=VALUE for any key outside a list of tables; may be repeated")
+	flags := c.Flags()
+	flags.StringVarP(&f.file, "config", "c", "", "configuration file; default: the value of CRESSHUB_CONFIG")
+	flags.StringVar(&f.listen, "listen", "", "host:port that clients connect to (key listen.address)")
+	flags.StringVar(&f.discovery, "discovery", "", "host:port of the discovery service (key discovery.address)")
+	flags.StringVar(&f.name, "name", "", "name of this instance (key name)")
+	flags.StringVar(&f.level, "log-level", "", "lowest level logged: debug, info, warn or error (key log.level)")
+	flags.StringVar(&f.format, "log-format", "", "format of log records: text or json (key log.format)")
+	flags.StringArrayVar(&f.set, "set", nil, "KEY=VALUE for any key not in a list of tables; may be repeated")
 }
 
-// load reads the configuration that the flags select, and returns its sources for reading it again.
+// load reads the configuration that the flags select, and also returns its sources, for a reload.
 func (f *configFlags) load() (*config.Config, config.Input, error) {
 	in, err := f.input()
 	if err != nil {
--- a/internal/proxy/cli/serve.go
+++ b/internal/proxy/cli/serve.go
@@ -11,9 +11,9 @@
 	"cresshub/internal/proxy/daemon"
 )
 
-// Signals returns the signals that a serving program handles. It is called before anything else, since a
-// signal that is not handled ends the process. SIGPIPE is ignored: that nobody reads the log any more is no
-// reason to end.
+// Signals returns a channel of the signals that a serving process handles. It must be called before anything
+// else, because by default these signals end the process. SIGPIPE is ignored, so that the process continues
+// when the reader of its log closes the pipe.
 func Signals() <-chan os.Signal {
 	signal.Ignore(syscall.SIGPIPE)
 	signals := make(chan os.Signal, 64)
@@ -25,9 +25,9 @@
 	var from configFlags
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve clients until SIGTERM",
-		Long: "Serves clients until SIGTERM or SIGINT, answers all that was taken, and ends.\n\n" +
-			"SIGHUP reads the configuration again, SIGUSR1 logs the counters. The log goes to standard error.",
+		Short: "Serve clients until SIGTERM or SIGINT",
+		Long: "Serves clients until SIGTERM or SIGINT, then responds to all accepted requests and exits.\n\n" +
+			"SIGHUP reloads the configuration, SIGUSR1 logs the counters. The log goes to standard error.",
 		Example: "  cresshub serve --config cresshub.toml\n" +
 			"  cresshub serve -c cresshub.toml --set log.requests=true",
 		Args: cobra.NoArgs,
@@ -41,7 +41,7 @@
 			if err != nil {
 				return err
 			}
-			in.Reload = true
+			in.Reload = true // for the function below, which reads the configuration on SIGHUP
 			proxy.Run(signals, func() (*config.Config, error) { return config.Load(in) })
 			return nil
 		},
--- a/internal/proxy/cli/standin.go
+++ b/internal/proxy/cli/standin.go
@@ -17,7 +17,7 @@
 
 func newStandin() *cobra.Command {
 	c := &cobra.Command{
-		Use: "standin", Short: "Run a party that stands in for a real one",
+		Use: "standin", Short: "Run a stand-in for a service that the proxy talks to",
 		Example: "  cresshub standin zone --name zone-1 --listen 127.0.0.1:9001\n" +
 			"  cresshub standin discovery --listen 127.0.0.1:8500 --server zone-1=127.0.0.1:9001",
 	}
@@ -25,7 +25,7 @@
 	return c
 }
 
-// waitForSignal waits for SIGINT or SIGTERM, for no longer than the limit.
+// waitForSignal waits for SIGINT or SIGTERM, at most for the time limit.
 func waitForSignal(limit time.Duration) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -40,10 +40,10 @@
 	var cold, asJSON bool
 	c := &cobra.Command{
 		Use:   "zone",
-		Short: "A zone server with cores, a queue and a cold start",
-		Long: "Answers requests after the time that their work takes, turns away with X-Not-Processed\n" +
-			"what finds its places full, and reports its load at GET /stats. SIGUSR1 drains it. It prints\n" +
-			"its counts at the end.",
+		Short: "Run a zone server with a number of cores, a queue and an optional cold start",
+		Long: "Responds to each request after the time that its work takes, rejects requests with the header\n" +
+			"X-Not-Processed while its queue is full, and reports its load at GET /stats. SIGUSR1 makes it\n" +
+			"drain. It prints its counts when it exits.",
 		Example: "  cresshub standin zone --name zone-1 --listen 127.0.0.1:9001 --cores 2 --speed 0.9",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -75,24 +75,24 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&o.Name, "name", "zone", "its name, which its responses have")
-	f.StringVar(&o.Listen, "listen", "127.0.0.1:0", "host:port; port 0 lets the system choose")
-	f.IntVar(&o.Cores, "cores", 2, "requests worked on at once")
-	f.Float64Var(&o.Speed, "speed", 1.8, "of a core; 1 is the yardstick")
-	f.IntVar(&o.MaxQueued, "waiting", 16, "places to wait in")
-	f.IntVar(&o.MaxConnections, "connections", 1500, "open at once")
-	f.DurationVar(&o.Handshake, "handshake", 2*time.Millisecond, "time that a new connection costs")
+	f.StringVar(&o.Name, "name", "zone", "name of the server, sent in its responses")
+	f.StringVar(&o.Listen, "listen", "127.0.0.1:0", "host:port to listen on; port 0 lets the system choose")
+	f.IntVar(&o.Cores, "cores", 2, "number of cores; each processes one request at a time")
+	f.Float64Var(&o.Speed, "speed", 1.8, "speed of a core relative to a standard core, which is 1")
+	f.IntVar(&o.MaxQueued, "waiting", 16, "largest number of queued requests")
+	f.IntVar(&o.MaxConnections, "connections", 1500, "largest number of open connections")
+	f.DurationVar(&o.Handshake, "handshake", 2*time.Millisecond, "work that a new connection costs")
 	f.DurationVar(&lookup, "lookup", 125*time.Millisecond, "mean work of a zone-lookup on a core of speed 1")
-	f.DurationVar(&assign, "assign", 108*time.Millisecond, "mean work of a rider-assign")
-	f.Float64Var(&o.Spread, "spread", 0.3, "work varies by this part of its mean")
-	f.BoolVar(&cold, "cold", false, "start cold, and fall over when pushed")
-	f.Uint64Var(&o.Seed, "seed", 1, "for the work of requests")
-	f.DurationVar(&limit, "for", time.Hour, "end after this time")
+	f.DurationVar(&assign, "assign", 108*time.Millisecond, "mean work of a rider-assign on a core of speed 1")
+	f.Float64Var(&o.Spread, "spread", 0.3, "work varies by up to this fraction of its mean, up and down")
+	f.BoolVar(&cold, "cold", false, "start cold, and collapse under overload while warming up")
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the random work of requests")
+	f.DurationVar(&limit, "for", time.Hour, "exit after this time")
 	f.BoolVar(&asJSON, "json", false, "print the counts as one JSON object")
 	return c
 }
 
-// printZoneCounts prints the counts under the names that scripts read.
+// printZoneCounts prints the counts under the names that scripts read, whatever the Go fields are called.
 func printZoneCounts(w io.Writer, n proxystandin.ZoneCounts) error {
 	_, err := fmt.Fprintf(w, "{Requests:%d Served:%d TurnedAway:%d Probes:%d Opened:%d RanTwice:%d "+
 		"AfterDrain:%d FellOver:%d}\n",
@@ -107,7 +107,7 @@
 	var limit time.Duration
 	c := &cobra.Command{
 		Use:     "discovery",
-		Short:   "The service that lists zone servers",
+		Short:   "Run a discovery service, which lists zone servers",
 		Example: "  cresshub standin discovery --listen 127.0.0.1:8500 --server zone-1=127.0.0.1:9001",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -129,9 +129,9 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:8500", "host:port; port 0 lets the system choose")
+	f.StringVar(&listen, "listen", "127.0.0.1:8500", "host:port to listen on; port 0 lets the system choose")
 	f.StringArrayVar(&servers, "server", nil, "NAME=HOST:PORT of a zone server; may be repeated")
-	f.DurationVar(&limit, "for", time.Hour, "end after this time")
+	f.DurationVar(&limit, "for", time.Hour, "exit after this time")
 	return c
 }
 
@@ -140,7 +140,7 @@
 	var limit time.Duration
 	c := &cobra.Command{
 		Use:     "sink",
-		Short:   "The billing service that takes exports of the ledger; prints what it has as JSON at its end",
+		Short:   "Run a billing sink, which accepts exports of the ledger and prints them as JSON at exit",
 		Example: "  cresshub standin sink --listen 127.0.0.1:9950",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -154,7 +154,8 @@
 			return printJSON(c.OutOrStdout(), s.Entries())
 		},
 	}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:9950", "host:port; port 0 lets the system choose")
-	c.Flags().DurationVar(&limit, "for", time.Hour, "end after this time")
+	c.Flags().StringVar(&listen, "listen", "127.0.0.1:9950",
+		"host:port to listen on; port 0 lets the system choose")
+	c.Flags().DurationVar(&limit, "for", time.Hour, "exit after this time")
 	return c
 }
--- a/internal/proxy/cli/try.go
+++ b/internal/proxy/cli/try.go
@@ -28,10 +28,10 @@
 	var o proxytrial.Options
 	c := &cobra.Command{
 		Use:   "try",
-		Short: "Try the proxy on this machine against stand-in servers",
-		Long: "Starts a discovery and zone servers that stand in for real ones, one proxy as a process of its\n" +
-			"own, and a load that waits for nothing, all on loopback; closes with what became of the\n" +
-			"requests and whether the rules were kept. It ends with 1 if one was broken.",
+		Short: "Test the proxy on this machine against stand-in servers",
+		Long: "Starts stand-ins for a discovery service and zone servers, one proxy as a separate process, and\n" +
+			"an open-loop load, all on loopback; then prints the outcomes of the requests and whether each\n" +
+			"rule was kept. It exits with status 1 if a rule was broken.",
 		Example: "  cresshub try --for 10s\n  cresshub try --for 20s --trouble crash\n" +
 			"  cresshub try --for 5s --json",
 		Args: cobra.NoArgs,
@@ -56,14 +56,14 @@
 	}
 	c.SetContext(context.Background())
 	f := c.Flags()
-	f.DurationVar(&o.Duration, "for", 10*time.Second, "how long the load lasts")
-	f.IntVar(&o.Servers, "servers", 10, "zone servers, two in five of half speed")
-	f.Float64Var(&o.Rate, "rate", 0, "requests a second; 0 goes by --load")
-	f.Float64Var(&o.LoadFactor, "load", 0.6, "part of what the servers can do with cold keys")
-	f.StringVar(&o.Fault, "trouble", "", "in the middle: "+strings.Join(proxytrial.Faults, ", "))
-	f.Uint64Var(&o.Seed, "seed", 1, "for arrivals, work and keys")
+	f.DurationVar(&o.Duration, "for", 10*time.Second, "duration of the load")
+	f.IntVar(&o.Servers, "servers", 10, "number of zone servers; two in five have half the speed")
+	f.Float64Var(&o.Rate, "rate", 0, "requests per second; 0 derives the rate from --load")
+	f.Float64Var(&o.LoadFactor, "load", 0.6, "load, as a fraction of the servers' capacity with cold keys")
+	f.StringVar(&o.Fault, "trouble", "", "fault during the load: "+strings.Join(proxytrial.Faults, ", "))
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the random arrivals, work and keys")
 	f.StringArrayVar(&o.Set, "set", nil, "KEY=VALUE of the proxy's configuration; may be repeated")
-	f.StringVar(&logFile, "log", "", "file for the proxy's log")
+	f.StringVar(&logFile, "log", "", "file to write the proxy's log to")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
 	return c
 }
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// runTrial runs a trial and prints its report, also where it was interrupted or failed.
+// runTrial runs a trial and prints its report, even if the trial was interrupted or failed.
 func runTrial(c *cobra.Command, o proxytrial.Options, asJSON bool) error {
 	ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	end := watchTrial(c.ErrOrStderr(), &o)
+	stopProgress := watchTrial(c.ErrOrStderr(), &o)
 	report, err := proxytrial.Run(ctx, o)
-	end()
+	stopProgress()
 	if report != nil {
 		if printErr := printTrial(c.OutOrStdout(), report, asJSON); err == nil {
 			err = printErr
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case ctx.Err() != nil:
-		return errors.New("interrupted; what was measured until then is above")
+		return errors.New("interrupted; the report above covers the time until then")
 	case err != nil:
 		return err
 	case report.Violations() > 0:
@@ -109,28 +109,28 @@
 	return nil
 }
 
-// watchTrial shows the progress where w is a terminal, and returns what ends that.
+// watchTrial shows the trial's progress if w is a terminal, and returns a function that removes the display.
 func watchTrial(w io.Writer, o *proxytrial.Options) func() {
 	f, ok := w.(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) {
 		return func() {}
 	}
-	var now atomic.Pointer[proxystandin.Totals]
-	now.Store(&proxystandin.Totals{})
-	lines := mpb.New(mpb.WithOutput(w), mpb.WithWidth(24))
-	bar := lines.AddBar(o.Duration.Milliseconds(), mpb.BarRemoveOnComplete(),
+	var totals atomic.Pointer[proxystandin.Totals]
+	totals.Store(&proxystandin.Totals{})
+	progress := mpb.New(mpb.WithOutput(w), mpb.WithWidth(24))
+	bar := progress.AddBar(o.Duration.Milliseconds(), mpb.BarRemoveOnComplete(),
 		mpb.AppendDecorators(decor.Any(func(decor.Statistics) string {
-			t := now.Load()
+			t := totals.Load()
 			return fmt.Sprintf("offered %d  in time %d  rejected %d  p99 %s", t.Offered, t.InTime,
 				t.ByKind[proxystandin.Refused], t.P99.Round(time.Millisecond))
 		})))
-	o.Progress = func(done time.Duration, t proxystandin.Totals) {
-		now.Store(&t)
-		bar.SetCurrent(min(done, o.Duration).Milliseconds())
+	o.Progress = func(elapsed time.Duration, t proxystandin.Totals) {
+		totals.Store(&t)
+		bar.SetCurrent(min(elapsed, o.Duration).Milliseconds())
 	}
 	return func() {
 		bar.Abort(true)
-		lines.Wait()
+		progress.Wait()
 	}
 }
 
--- a/internal/proxy/cli/version.go
+++ b/internal/proxy/cli/version.go
@@ -10,11 +10,12 @@
 func newVersion() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "version", Short: "Print what was built", Example: "  cresshub version --json", Args: cobra.NoArgs,
+		Use: "version", Short: "Print the version, the revision and the Go release of this build",
+		Example: "  cresshub version --json", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			out := map[string]string{}
-			for _, what := range []string{"version", "revision", "modified", "go"} {
-				out[what] = "unknown"
+			for _, key := range []string{"version", "revision", "modified", "go"} {
+				out[key] = "unknown"
 			}
 			if info, ok := debug.ReadBuildInfo(); ok {
 				out["version"], out["go"] = info.Main.Version, info.GoVersion
