--- a/internal/proxy/cli/cli_test.go
+++ b/internal/proxy/cli/cli_test.go
@@ -94,7 +94,7 @@
 	t.Setenv("EDGE_CONFIG", platformPath)
 	out, err := check()
 	for _, key := range []string{"fleet.bind", "ledger.bind", "owner.chores"} {
-		if err == nil || !strings.Contains(out, key+": the platform bars talk among proxies") {
+		if err == nil || !strings.Contains(out, key+": the platform forbids traffic between proxies") {
 			t.Errorf("%s is not rejected: %v\n%s", key, err, out)
 		}
 	}
--- a/internal/proxy/config/check_cluster.go
+++ b/internal/proxy/config/check_cluster.go
@@ -8,13 +8,13 @@
 	"cresshub/internal/settingsfile"
 )
 
-// checkFleet checks the fleet's keys against each other and the platform.
+// checkFleet checks the fleet's keys against each other, and rejects a fleet on the platform.
 func (k *checker) checkFleet() {
 	f := &k.Fleet
 	if f.Bind == "" {
 		return
 	}
-	if k.barredOnPlatform("fleet.bind", "talk among proxies") {
+	if k.rejectOnPlatform("fleet.bind", "traffic between proxies") {
 		return
 	}
 	if f.ProbeTimeout >= f.ProbeInterval && k.valid("fleet.probe", "fleet.probe_timeout") {
@@ -27,7 +27,7 @@
 	}
 	for _, address := range []string{k.Listen.Address, k.Operator} {
 		if address != "" && address == f.Bind && !strings.HasSuffix(address, ":0") {
-			k.Add(k.originOf("fleet.bind"), "fleet.bind", "%q is taken by clients or operators", address)
+			k.Add(k.originOf("fleet.bind"), "fleet.bind", "%q is taken by listen.address or operator", address)
 		}
 	}
 	for i, seed := range f.Seeds {
@@ -39,28 +39,31 @@
 	}
 }
 
-// barredOnPlatform reports a key that must be empty on the platform, and whether this is the platform.
-func (k *checker) barredOnPlatform(key, bars string) bool {
+// rejectOnPlatform returns whether the process runs on the platform, and if so reports key, which must be
+// empty there. forbidden is what the platform forbids.
+func (k *checker) rejectOnPlatform(key, forbidden string) bool {
 	if k.onPlatform {
-		k.Add(k.originOf(key), key, "the platform bars %s (EDGE_CONFIG is set); leave %s empty there", bars, key)
+		k.Add(k.originOf(key), key, "the platform forbids %s (EDGE_CONFIG is set); leave %s empty there",
+			forbidden, key)
 	}
 	return k.onPlatform
 }
 
-// checkLedger checks the ledger's keys against each other, the fleet's and the platform.
+// checkLedger checks the ledger's keys against each other and the fleet's, and rejects a ledger on the
+// platform.
 func (k *checker) checkLedger() {
 	l := &k.Ledger
 	if l.Bind == "" {
 		return
 	}
-	if k.barredOnPlatform("ledger.bind", "talk among proxies and keeps no disk") {
+	if k.rejectOnPlatform("ledger.bind", "traffic between proxies and keeps no disk") {
 		return
 	}
 	if k.Fleet.Bind == "" {
-		k.Add(k.originOf("ledger.bind"), "ledger.bind", "needs fleet.bind: replicas are found by the fleet view")
+		k.Add(k.originOf("ledger.bind"), "ledger.bind", "needs fleet.bind: the fleet's members locate replicas")
 	}
 	if l.DataDir == "" {
-		k.Add(k.originOf("ledger.bind"), "ledger.data", "is missing; the ledger wants a folder of its own")
+		k.Add(k.originOf("ledger.bind"), "ledger.data", "is missing; the ledger needs a directory of its own")
 	}
 	if l.Bind == k.Fleet.Bind && !strings.HasSuffix(l.Bind, ":0") {
 		k.Add(k.originOf("ledger.bind"), "ledger.bind", "%q is taken by fleet.bind", l.Bind)
@@ -71,7 +74,7 @@
 	}
 	if l.Replicas == 4 {
 		k.Add(k.originOf("ledger.replicas"), "ledger.replicas",
-			"4 outlive no more losses than 3; 3 or 5 are allowed")
+			"4 replicas survive no more losses than 3; 3 or 5 are allowed")
 	}
 	if l.BootstrapExpect < l.Replicas && k.valid("ledger.expect", "ledger.replicas") {
 		k.Add(k.originOf("ledger.expect"), "ledger.expect", "%d is below replicas %d",
@@ -83,13 +86,14 @@
 	}
 }
 
-// checkOwner checks the roles' keys against each other, the ledger's, discovery's and the platform.
+// checkOwner checks the keys of the singleton roles against each other, the ledger's and discovery's, and
+// rejects such roles on the platform.
 func (k *checker) checkOwner() {
 	o := &k.Owner
 	if len(o.Roles) == 0 {
 		return
 	}
-	if k.barredOnPlatform("owner.chores", "talk among proxies") {
+	if k.rejectOnPlatform("owner.chores", "traffic between proxies") {
 		return
 	}
 	for _, role := range o.Roles {
@@ -98,13 +102,13 @@
 		}
 	}
 	if k.Ledger.Bind == "" {
-		k.reportOwner("chores", "needs ledger.bind: leases and what singleton roles store are in the ledger's log")
+		k.reportOwner("chores", "needs ledger.bind: leases and the state of roles are in the ledger's log")
 	}
 	if o.HasRole(RoleExport) && o.Sink == "" {
-		k.reportOwner("sink", "is missing; export wants the billing sink's host and port")
+		k.reportOwner("sink", "is missing; export needs the billing sink's host and port")
 	}
 	if o.HasRole(RoleList) && k.Discovery.Address == "" && len(k.Servers) > 0 {
-		k.reportOwner("chores", "list asks discovery, and the servers are in this file")
+		k.reportOwner("chores", "list queries discovery, but [[server]] tables define the servers")
 	}
 	if k.valid("owner.lease", "owner.drift", "ledger.election") {
 		if err := k.LeaseSettings().Check(); err != nil {
@@ -116,7 +120,7 @@
 	}
 }
 
-// checkListAge checks how old the owner's list may get.
+// checkListAge checks owner.list_max_age, the age up to which the owner's list is used.
 func (k *checker) checkListAge() {
 	o := &k.Owner
 	if k.valid("owner.list_max_age", "owner.list_poll", "discovery.ask_within") {
@@ -130,12 +134,14 @@
 		}
 	}
 	if o.ListMaxAge < o.LeaseTTL && k.valid("owner.list_max_age", "owner.lease") {
-		k.reportOwner("list_max_age", "%s is below the lease %s: each change of owner would have all ask discovery",
+		k.reportOwner("list_max_age",
+			"%s is below the lease %s: all members would query discovery after each change of owner",
 			settingsfile.FormatDuration(max(o.ListMaxAge, time.Millisecond)), settingsfile.FormatDuration(o.LeaseTTL))
 	}
 }
 
-// reportOwner reports a mistake in a key of the section owner, at owner.chores if the key itself is not set.
+// reportOwner reports a mistake in a key of the section owner, at the origin of owner.chores if the key
+// itself is at its default.
 func (k *checker) reportOwner(key, format string, args ...any) {
 	path := "owner." + key
 	k.Add(k.originOf(path, "owner.chores"), path, format, args...)
--- a/internal/proxy/config/check_cluster_test.go
+++ b/internal/proxy/config/check_cluster_test.go
@@ -25,10 +25,10 @@
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
-	// On the platform the proxies may not talk to each other: a fleet is refused, and named.
+	// The platform forbids traffic between proxies: a fleet is rejected there, and the error names its key.
 	_, err := load(Input{File: "c.toml"}, map[string]string{"p.json": platform,
 		"c.toml": "[fleet]\nbind = \"127.0.0.1:7946\"\n"}, "EDGE_CONFIG=p.json")
-	if !strings.Contains(fmt.Sprint(err), "fleet.bind: the platform bars talk among proxies") {
+	if !strings.Contains(fmt.Sprint(err), "fleet.bind: the platform forbids traffic between proxies") {
 		t.Errorf("a fleet on the platform: %v", err)
 	}
 	if _, err := load(Input{}, map[string]string{"p.json": platform}, "EDGE_CONFIG=p.json"); err != nil {
@@ -41,7 +41,7 @@
 	const chores, sink = "chores = [\"export\", \"list\"]\n", "sink = \"127.0.0.1:3\"\n"
 	for _, c := range []struct{ before, owner, want string }{
 		{ledger, chores + sink, ""},
-		{ledger, "chores = []\nlease = \"60ms\"", ""}, // off: the rest is not held to each other
+		{ledger, "chores = []\nlease = \"60ms\"", ""}, // without roles, owner.lease is not checked
 		{"", chores + sink, "owner.chores: needs ledger.bind"},
 		{ledger, chores, "owner.sink: is missing"},
 		{ledger, "chores = [\"lists\"]", `owner.chores: "lists" is no singleton role; there are export and list`},
@@ -60,12 +60,12 @@
 			t.Errorf("%s: %v, want %q", c.owner, err, c.want)
 		}
 	}
-	// The platform refuses each part, by file and by variable.
+	// On the platform each key is rejected, whether a file or a variable sets it.
 	for _, c := range []struct{ file, env, want string }{
-		{ledger, "", "ledger.bind: the platform bars talk among proxies"},
-		{ledger + "[owner]\n" + chores + sink, "", "owner.chores: the platform bars talk among proxies"},
-		{"", "CRESSHUB_OWNER_CHORES=export", "owner.chores: the platform bars talk among proxies"},
-		{"", "CRESSHUB_LEDGER_BIND=127.0.0.1:1", "ledger.bind: the platform bars talk among proxies"},
+		{ledger, "", "ledger.bind: the platform forbids traffic between proxies"},
+		{ledger + "[owner]\n" + chores + sink, "", "owner.chores: the platform forbids traffic between proxies"},
+		{"", "CRESSHUB_OWNER_CHORES=export", "owner.chores: the platform forbids traffic between proxies"},
+		{"", "CRESSHUB_LEDGER_BIND=127.0.0.1:1", "ledger.bind: the platform forbids traffic between proxies"},
 	} {
 		_, err := load(Input{File: "c.toml"}, map[string]string{"p.json": platform, "c.toml": c.file},
 			"EDGE_CONFIG=p.json", c.env)
--- a/internal/proxy/config/check_test.go
+++ b/internal/proxy/config/check_test.go
@@ -11,7 +11,8 @@
 	"cresshub/internal/settingsfile"
 )
 
-// Every mistake of a file is reported at once, at its line, with what is allowed and the likely word.
+// All mistakes in a file are reported at once, each with its line, the allowed values and the most similar
+// word.
 //
 //nolint:misspell // misspelled keys are among the mistakes
 func TestAllMistakesAreReportedWithTheirLines(t *testing.T) {
@@ -73,11 +74,11 @@
 			found = found || strings.HasPrefix(p.String(), "c.toml:"+w)
 		}
 		if !found {
-			t.Errorf("not told: %s", w)
+			t.Errorf("not reported: %s", w)
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d mistakes told, %d made:\n%v", len(got), len(want), got)
+		t.Errorf("%d mistakes reported, %d expected:\n%v", len(got), len(want), got)
 	}
 }
 
@@ -109,9 +110,9 @@
 	}
 }
 
-// An open bracket breaks all that follows: reading on at each next line must not take time by the square of
-// the file's length.
-func TestReadingManyBrokenLinesIsBounded(t *testing.T) {
+// An unclosed bracket makes the rest of the file invalid. The parser resumes at each next line, which must
+// not take time quadratic in the length of the file; the number of reported mistakes is bounded.
+func TestParsingManyInvalidLinesIsBounded(t *testing.T) {
 	_, err := loadTOML(strings.Repeat("a = [\n", 1<<20/6))
 	var ps settingsfile.SettingErrors
 	if !errors.As(err, &ps) || len(ps) > 52 {
@@ -119,15 +120,15 @@
 	}
 }
 
-// Whatever stands in a file, reading it ends, reports lines that the file has, and takes no value in that a
-// check would reject.
-func TestAnyTextIsReadToItsEnd(t *testing.T) {
+// Load terminates for any text. It returns either values whose sources are known, or mistakes with a message
+// and a line that the file has.
+func TestLoadAcceptsOrRejectsAnyText(t *testing.T) {
 	lines := strings.SplitAfter(InitialFile()+small, "\n")
-	piece := rapid.OneOf(rapid.SampledFrom(lines), rapid.SampledFrom([]string{
+	fragment := rapid.OneOf(rapid.SampledFrom(lines), rapid.SampledFrom([]string{
 		"[", "]]", "=", "\"", "'''", "\"\"\"",
 		"\n", "{", "}", "a.b.c = {x=1,y=[2,{z=3}]}\n", "[[class]]\n", "1e999", "-0", "\\u0000", "#"}))
 	rapid.Check(t, func(t *rapid.T) {
-		text := strings.Join(rapid.SliceOfN(piece, 0, 40).Draw(t, "pieces"), "")
+		text := strings.Join(rapid.SliceOfN(fragment, 0, 40).Draw(t, "pieces"), "")
 		checkText(t, text)
 	})
 }
@@ -139,7 +140,7 @@
 	case err == nil:
 		for _, v := range c.Effective() {
 			if v.Source == "" {
-				t.Errorf("%s came from nowhere in %q", v.Key, text)
+				t.Errorf("%s has no source, for the text %q", v.Key, text)
 			}
 		}
 	case !errors.As(err, &ps):
@@ -159,9 +160,9 @@
 	f.Fuzz(func(t *testing.T, text string) { checkText(t, text) })
 }
 
-// The operators' address comes from the file, the platform's file or EDGE_OPERATOR; one that cannot be
-// used, or is the clients', is reported by its key.
-func TestOperatorAddressComesFromEachSource(t *testing.T) {
+// The operator's file, the platform's file and EDGE_OPERATOR can each set the address of the admin API. An
+// invalid address, and the one that clients connect to, are reported under the key operator.
+func TestAdminAddressFromEachSource(t *testing.T) {
 	for text, want := range map[string]string{
 		"127.0.0.1:8080": "operator: \"127.0.0.1:8080\" is where clients connect",
 		"nonsense":       "operator: \"nonsense\" is no address",
--- a/internal/proxy/config/config_test.go
+++ b/internal/proxy/config/config_test.go
@@ -36,7 +36,7 @@
 effect = "idempotent"
 `
 
-// load reads files given by name, with variables.
+// load calls Load with the contents of files by path, and with environment variables.
 func load(in Input, files map[string]string, env ...string) (*Config, error) {
 	in.Environ = func() []string { return env }
 	in.Read = func(path string) ([]byte, error) {
@@ -52,11 +52,12 @@
 	return load(Input{File: "c.toml"}, map[string]string{"c.toml": text})
 }
 
-// At the start a variable goes before the platform's file; once the file was replaced, the file does.
+// At the start EDGE_DISCOVERY overrides the discovery address of the platform's file; at a reload the file
+// overrides the variable, because the platform may have replaced the file.
 func TestPrecedenceOfSources(t *testing.T) {
 	files := map[string]string{"p.json": platform, "c.toml": strings.Replace(small, "8500", "1", 1)}
 	env := []string{"EDGE_CONFIG=p.json", "EDGE_DISCOVERY=127.0.0.1:3"}
-	own := append(env, "CRESSHUB_DISCOVERY_ADDRESS=127.0.0.1:4")
+	withOwnVariable := append(env, "CRESSHUB_DISCOVERY_ADDRESS=127.0.0.1:4")
 	flag := map[string]string{"discovery.address": "127.0.0.1:5"}
 	for _, c := range []struct {
 		in   Input
@@ -69,8 +70,8 @@
 		{Input{File: "c.toml"}, env[:1], 2, "platform"},
 		{Input{File: "c.toml"}, env, 3, "environment"},
 		{Input{File: "c.toml", Reload: true}, env, 2, "platform"},
-		{Input{File: "c.toml"}, own, 4, "environment"},
-		{Input{File: "c.toml", Flags: flag}, own, 5, "flag"},
+		{Input{File: "c.toml"}, withOwnVariable, 4, "environment"},
+		{Input{File: "c.toml", Flags: flag}, withOwnVariable, 5, "flag"},
 	} {
 		got, err := load(c.in, files, c.env...)
 		if err != nil {
@@ -92,7 +93,7 @@
 	}
 }
 
-// The code compares with constants what the tags list as texts.
+// The code compares values with constants, which must be among the values that the enum tags allow.
 func TestConstantsAreAllowedValues(t *testing.T) {
 	for path, values := range map[string][]string{
 		"discovery.mode":     {ModeAsk, ModeTold},
--- a/internal/proxy/config/descriptions.go
+++ b/internal/proxy/config/descriptions.go
@@ -2,227 +2,244 @@
 
 package config
 
-// descriptions are the comments on the fields of Config and its sections, which the
-// reference page and a first file have, by the path of the key.
+// descriptions maps the path of each key to the comment on its field of Config or of a section.
+// The reference page and the initial file print them.
 var descriptions = map[string]string{
 	"name": "name of this instance, in its log and among the members of the fleet",
-	"seed": "seed of random choices, 16 hex digits; empty draws another one at " +
-		"each start. A given one makes decisions repeatable",
-	"halls":    "names of the halls that servers stand in; their order numbers them",
-	"kinds":    "names of the kinds of server; their order numbers them",
-	"operator": "host and port of the admin API; empty for none",
+	"seed": "seed of random decisions, 16 hex digits; if empty, a random one is " +
+		"used at each start. A given seed makes decisions repeatable",
+	"halls": "names of the halls that servers run in; their order gives them their " +
+		"numbers",
+	"kinds":    "names of the kinds of server; their order gives them their numbers",
+	"operator": "host and port to listen on for the admin API; empty for no admin API",
 	"listen.address": "host and port that clients connect to; with port 0 the system chooses " +
-		"one, and the log has it",
+		"one, which the log shows",
 	"discovery.address": "host and port of the discovery service; empty where [[server]] tables " +
-		"name the servers",
+		"define the servers",
 	"discovery.mode": "how changes of the list reach the proxy: ask sends them only while a " +
 		"watch is open, told at any time, so that a change counts as known " +
 		"from the moment discovery has it",
 	"discovery.ask_within": "longest time that the proxy goes without an open watch or a request " +
 		"to discovery",
-	"discovery.silence": "a watch on which nothing has come for this long is closed and opened " +
-		"again",
+	"discovery.silence": "a watch on which nothing has been received for this long is closed " +
+		"and opened again",
 	"discovery.max_list": "largest message that discovery may send",
-	"handover.dir": "directory in which an old and a new process find each other; empty is " +
-		"TMPDIR, and no handover where that is not set",
-	"handover.wait": "longest wait for the old process to pass its socket; after it the new " +
-		"one listens beside the old one",
-	"handover.settle": "longest wait of a new process for its first list from discovery " +
-		"before it accepts clients",
-	"fleet.bind": "host and port for gossip, by UDP and TCP; empty for no membership; " +
-		"with port 0 the system chooses one",
+	"handover.dir": "directory of the Unix socket by which the old and the new process " +
+		"find each other; empty is TMPDIR, and no handover where TMPDIR is not " +
+		"set",
+	"handover.wait": "longest wait for the old process to pass its socket; after that, the " +
+		"new process listens beside the old one",
+	"handover.settle": "longest time that a new process waits for its first list from " +
+		"discovery before it accepts clients",
+	"fleet.bind": "host and port to listen on for gossip, by UDP and TCP; empty for no " +
+		"membership; with port 0 the system chooses one",
 	"fleet.advertise": "host and port at which other members reach this one; empty is bind",
-	"fleet.seeds": "gossip addresses of members to join by; one that can be reached is " +
-		"enough",
-	"fleet.label": "name of the fleet; members with another label are refused",
-	"fleet.probe": "interval between probes of one member",
+	"fleet.seeds": "gossip addresses of members through which this one joins; one that " +
+		"can be reached is enough",
+	"fleet.label": "name of the fleet; members with another label are rejected",
+	"fleet.probe": "interval between probes, each of one member",
 	"fleet.probe_timeout": "longest wait for the response to a probe, after which other members " +
-		"are asked to probe; must be below probe",
-	"fleet.gossip": "interval between messages of gossip",
-	"fleet.suspicion_mult": "a suspected member is taken for dead after this many probe intervals " +
-		"times log(members + 1)",
-	"fleet.rejoin": "interval between attempts to join seeds and members that died lately",
-	"fleet.sync_each": "interval between full exchanges of state with another member, for " +
-		"each known member: a larger fleet exchanges less often",
+		"are asked to probe the member; must be below probe",
+	"fleet.gossip": "interval between rounds of gossip",
+	"fleet.suspicion_mult": "a suspected member counts as dead after at least this many probe " +
+		"intervals times log10 of the number of members (1 at least); without " +
+		"confirmations by other members, after up to six times as long",
+	"fleet.rejoin": "interval between attempts to join seeds and recently dead members",
+	"fleet.sync_each": "this time, multiplied by the number of known members, is the interval " +
+		"between full exchanges of state with another member: a larger fleet " +
+		"exchanges less often",
 	"fleet.relay": "SOCKS5 relay for all gossip; only for tests and the laboratory",
-	"fleet.gone_after": "a member that has been dead for this long without a break is gone: " +
-		"others may take over its place",
-	"fleet.flap_window": "changes of state within this time count as flaps, each of which " +
-		"delays that a member is gone",
-	"fleet.forget": "a member that left or is gone is dropped from the view after this " +
-		"long; at least gone_after",
+	"fleet.gone_after": "a member that has been dead for this long without interruption is " +
+		"gone: others may replace it",
+	"fleet.flap_window": "a member's deaths, leaves and returns within this time count as " +
+		"flaps; each beyond the first delays the time at which the member is " +
+		"gone",
+	"fleet.forget": "a member that left or is gone is removed from the view after this " +
+		"time; at least gone_after",
 	"fleet.max_members": "largest number of members in the view",
-	"ledger.bind": "host and port for the other members; empty for no ledger. It needs " +
-		"fleet.bind",
+	"ledger.bind": "host and port to listen on for the other members; empty for no " +
+		"ledger. It needs fleet.bind",
 	"ledger.advertise": "host and port at which other members reach this one; empty is bind",
-	"ledger.data":      "directory of this member's own, on a disk that survives restarts",
-	"ledger.replicas": "members that hold a replica: 3 survive the loss of one, 5 the loss of " +
-		"two",
-	"ledger.expect": "members that must be seen before the ledger is bootstrapped; it must " +
-		"be more than half of all members",
+	"ledger.data":      "directory that only this member uses, on a disk that survives restarts",
+	"ledger.replicas": "number of members that have a replica: 3 survive the loss of one, 5 " +
+		"the loss of two",
+	"ledger.expect": "number of members that must be known before the ledger is " +
+		"bootstrapped; it must be more than half of all members",
 	"ledger.flush":     "interval between batches of counts",
 	"ledger.period":    "how long a period of the ledger stays open",
 	"ledger.heartbeat": "interval between heartbeats of the ledger's leader",
-	"ledger.election": "a replica that hears no leader for this long, up to twice, stands for " +
-		"election; at least twice heartbeat",
-	"ledger.catch_up":         "log entries that a new replica may lack when it becomes a voter",
-	"ledger.snapshot_entries": "log entries between snapshots",
-	"ledger.snapshot_bytes":   "bytes of log between snapshots",
-	"ledger.keep":             "closed periods that are retained",
-	"ledger.remember": "periods for which ids of requests are remembered, so that a retry " +
-		"counts once, where it was answered first",
-	"ledger.ids": "largest number of ids remembered for that",
+	"ledger.election": "a replica that receives nothing from a leader for a random time, from " +
+		"this to twice as long, starts an election; at least twice heartbeat",
+	"ledger.catch_up": "largest number of log entries by which a new replica may lag when it " +
+		"becomes a voter",
+	"ledger.snapshot_entries": "number of log entries after which a snapshot is taken",
+	"ledger.snapshot_bytes":   "size of log entries after which a snapshot is taken",
+	"ledger.keep":             "number of closed periods that are retained",
+	"ledger.remember": "number of periods, including the open one, for which ids of requests " +
+		"are remembered, so that a retry counts once, in the period of its " +
+		"first answer",
+	"ledger.ids": "largest number of request ids that are remembered",
 	"ledger.tenants": "largest number of tenants in one period; further ones are counted " +
 		"together",
-	"ledger.outbox": "bytes of batches that may wait on disk while the ledger has no " +
-		"leader; beyond, new counts are summed up in memory",
-	"ledger.faults": "file that says how the disk fails; only for tests and the laboratory",
+	"ledger.outbox": "size of the batches that may wait on disk while the ledger has no " +
+		"leader; beyond it, new counts are added up in memory",
+	"ledger.faults": "file that defines disk faults to inject; only for tests and the " +
+		"laboratory",
 	"owner.chores": "singleton roles that this member competes for: export sends the " +
-		"ledger to a billing sink, list asks discovery for all members; empty " +
-		"for none. They need ledger.bind",
-	"owner.sink": "host and port of the billing sink",
-	"owner.lease": "an owner that has not renewed its lease for this long owns the roles " +
-		"no more",
-	"owner.drift": "fraction by which a member's clock may run fast or slow; leases are " +
-		"shortened by it",
+		"ledger to a billing sink, list queries discovery on behalf of all " +
+		"members; empty for none. They need ledger.bind",
+	"owner.sink":  "host and port of the billing sink",
+	"owner.lease": "an owner that has not renewed its lease for this long loses the roles",
+	"owner.drift": "largest fraction by which a member's clock may run fast or slow; " +
+		"leases are shortened by it",
 	"owner.call":    "longest wait for the sink's response to one call",
 	"owner.entries": "largest number of ledger entries in one call",
-	"owner.list_max_age": "an owner's list older than this is not used: members ask discovery " +
-		"themselves; at most discovery.ask_within",
-	"owner.list_poll": "interval at which a member looks for a new list of the owner; at most " +
-		"a quarter of list_max_age",
-	"owner.faults": "file that says how calls fail; only for tests and the laboratory",
-	"limits.cores": "processors to use, rounded up; 0 is all",
-	"limits.memory": "memory of the process; 0 is no limit. Three quarters are the limit of " +
-		"the Go runtime",
-	"limits.bodies": "fraction of the memory that buffered bodies may take; of 64 MiB where " +
-		"memory is 0",
-	"limits.sockets": "file descriptors that the process may hold; 0, or more than the " +
-		"system's limit, is the system's limit",
-	"limits.clients": "fraction of the sockets that clients may hold; at it, an idle client " +
-		"is closed for a new one",
-	"limits.crowded": "fraction of the sockets beyond which each new client closes the one " +
-		"that has been idle longest",
+	"owner.list_max_age": "an owner's list older than this is not used, and members query " +
+		"discovery themselves; at most discovery.ask_within",
+	"owner.list_poll": "interval at which a member polls the store for a new list of the " +
+		"owner; at most a quarter of list_max_age",
+	"owner.faults": "file that defines faults of calls to inject; only for tests and the " +
+		"laboratory",
+	"limits.cores": "number of processors to use, rounded up; 0 is all",
+	"limits.memory": "memory that the process may use; 0 is no limit. Three quarters of it " +
+		"are the memory limit of the Go runtime",
+	"limits.bodies": "fraction of memory that buffered bodies may use; a fraction of 64 MiB " +
+		"where memory is 0",
+	"limits.sockets": "number of file descriptors that the process may open; 0, or more than " +
+		"the system's limit, is the system's limit",
+	"limits.clients": "fraction of sockets that client connections may use; at that limit, " +
+		"an idle client connection is closed to make room for a new one",
+	"limits.crowded": "fraction of sockets; while client connections use more, the one that " +
+		"has been idle longest is closed for each new one",
 	"clients.first_request": "longest wait from the start of a connection to the first byte of its " +
 		"first request",
 	"clients.request": "longest wait from a request's first byte to the end of its head",
-	"clients.stall": "a body, either way, that makes no progress for this long ends the " +
-		"request",
-	"clients.discard": "how long the rest of a large body is read and dropped after an early " +
-		"response",
+	"clients.stall": "a request ends if its body or that of its response makes no progress " +
+		"for this long",
+	"clients.discard": "how long the rest of a large request body is read and discarded after " +
+		"an early response",
 	"clients.idle": "a connection that has been idle for this long between two requests is " +
 		"closed",
-	"clients.write": "longest wait for a client to take a response",
-	"clients.linger": "how long a connection is read after an error response, so that a " +
-		"reset does not overtake the response",
-	"clients.turn_away": "longest wait for the request of a client beyond the sockets, which is " +
-		"then refused with a response",
-	"clients.turned_away_at_once": "clients beyond the sockets that are refused with a response at a " +
-		"time; further ones are closed without",
-	"clients.silent_for": "a connection without any byte may be closed for another one at this " +
-		"age",
-	"clients.half_for": "a connection with an incomplete request on which nothing has come for " +
-		"this long may be closed for another one",
-	"clients.rested_for": "a connection that has been idle for this long may be closed for " +
-		"another one",
-	"shutdown.close_idle_after": "connections close that were idle at the signal",
-	"shutdown.accept_for": "new connections are accepted until then; it ends at once where a new " +
-		"process accepts them",
-	"shutdown.close_all_after": "idle connections close that came after the signal; at least accept_for",
-	"shutdown.close_half_after": "connections with an incomplete request close; at the end of the " +
-		"process with close_all_after",
-	"upstream.dial": "a connection that is not established after this long counts as " +
+	"clients.write": "longest wait for a client to receive a response",
+	"clients.linger": "how long a connection is read after a response that closes it, so " +
+		"that a reset does not overtake the response",
+	"clients.turn_away": "longest wait for the request on a connection for which no socket is " +
+		"left; it is rejected with status 503",
+	"clients.turned_away_at_once": "largest number of such connections that wait for their request and " +
+		"are rejected with a response at a time; further ones are closed " +
+		"without a response",
+	"clients.silent_for": "a connection on which nothing has been received may be closed at this " +
+		"age to make room for another one",
+	"clients.half_for": "a connection with an incomplete request on which nothing has been " +
+		"received for this long may be closed to make room for another one",
+	"clients.rested_for": "a connection that has been idle for this long between two requests " +
+		"may be closed to make room for another one",
+	"shutdown.close_idle_after": "connections that have been idle since the signal are closed after " +
+		"this time",
+	"shutdown.accept_for": "new connections are accepted for this long; this ends at once where a " +
+		"new process accepts them",
+	"shutdown.close_all_after": "all idle connections are closed after this time, also those that were " +
+		"opened or became idle after the signal; at least accept_for",
+	"shutdown.close_half_after": "connections with an incomplete request are closed after this time; in " +
+		"a shutdown after close_all_after if that is earlier",
+	"upstream.dial": "a connection that is not established within this time counts as " +
 		"refused; 0s is 250 ms",
-	"upstream.idle_close": "servers close a connection that has been idle for this long; 0s is " +
-		"not known, and connections are reused for 1 s",
+	"upstream.idle_close": "time after which servers close an idle connection; 0s means that it " +
+		"is not known, and connections idle for up to 1 s are reused",
 	"upstream.reuse": "fraction of idle_close up to which an idle connection is reused",
-	"upstream.rest": "a connection is not reused for this long after a response, in which a " +
+	"upstream.rest": "a connection is not reused for this long after a response, because a " +
 		"second response to the same request may follow",
-	"upstream.probe": "longest wait for the response to a probe, beyond that for the " +
-		"connection",
-	"upstream.hold": "a response of unknown length is buffered for this long, and passed on " +
-		"as it comes after it",
+	"upstream.probe": "longest wait for the response to a probe, in addition to the wait for " +
+		"the connection",
+	"upstream.hold": "a response of unknown length is buffered for this long; after that it " +
+		"is forwarded as it arrives",
 	"upstream.stall": "an attempt whose body makes no progress for this long is given up",
-	"policy.rank": "number of this instance among all. Accepted without effect: no " +
-		"decision depends on which of its peers an instance is",
-	"policy.instances": "instances that send to these servers, this one included. Accepted " +
-		"without effect: load reports of the servers include what the others " +
-		"send",
-	"policy.hall": "hall of this instance, one of halls",
-	"policy.tick": "granularity of decisions",
-	"policy.travel": "a request is answered this long before its deadline, so that the " +
-		"response arrives in time",
+	"policy.rank": "index of this instance among all instances. Accepted without effect: " +
+		"no decision depends on which of its peers an instance is",
+	"policy.instances": "number of instances that send to these servers, this one included. " +
+		"Accepted without effect: load reports of the servers include what the " +
+		"others send",
+	"policy.hall": "hall that this instance runs in, one of halls",
+	"policy.tick": "time resolution of decisions",
+	"policy.travel": "a response is sent at the latest this long before the request's " +
+		"deadline, so that it arrives in time",
 	"policy.attempts": "largest number of attempts for one request",
-	"policy.probes":   "servers may be probed for their load",
-	"policy.cancel":   "attempts may be cancelled by closing their connection",
-	"policy.duplicate": "an idempotent request may have two attempts under way at once " +
+	"policy.probes":   "whether servers may be probed for their load",
+	"policy.cancel":   "whether attempts may be cancelled by closing their connection",
+	"policy.duplicate": "whether an idempotent request may have two attempts in flight at once " +
 		"(hedging)",
-	"policy.tell_wait": "rejections carry Retry-After",
-	"policy.max_wait":  "longest Retry-After",
-	"policy.warm_keys": "a server does less work for a key that it has met lately, so that " +
-		"requests of one key go to the same servers",
-	"policy.report": "the values in a load report, in their order",
-	"policy.report_from": "what carries load reports: probe for the responses to probes, answers " +
-		"for those to requests, none",
-	"policy.over_share_worth": "value of a request beyond its tenant's share, as a fraction of its " +
-		"class's. Accepted without effect: decisions do not count what a " +
-		"tenant has had",
-	"policy.worth_by": "what the value of a class is for: one request, or one unit of a " +
-		"request's work",
+	"policy.tell_wait": "whether rejections have a Retry-After header",
+	"policy.max_wait":  "longest time that a Retry-After header gives",
+	"policy.warm_keys": "whether a server does less work for a key of which it has had a " +
+		"recent request, so that requests with the same key are sent to the " +
+		"same servers",
+	"policy.report": "names of the values in a load report, in their order",
+	"policy.report_from": "what carries load reports: responses to probes (probe), responses to " +
+		"requests (answers), or nothing (none)",
+	"policy.over_share_worth": "value of a request beyond its tenant's share, as a fraction of the " +
+		"value of its class. Accepted without effect: decisions do not count " +
+		"the requests of a tenant",
+	"policy.worth_by": "whether the worth of a class is for each request or for each unit of " +
+		"a request's work",
 	"policy.answer_slack": "how long after its deadline a response still counts. Accepted without " +
 		"effect: all responses are sent by the deadline",
 	"drain.grace": "no new request goes to a server later than this after discovery " +
-		"listed it as draining. Accepted without effect: none goes there once " +
-		"the list says so",
-	"cold.start":      "fraction of its capacity that a server has at least when it starts",
+		"listed it as draining. Accepted without effect: no request goes to a " +
+		"server that is listed as draining",
+	"cold.start": "fraction of its full capacity that a server has at least when it " +
+		"starts",
 	"cold.warm_after": "a server has its full capacity this long after its start",
 	"cold.fall_multiple": "a server that has just started collapses when it gets more than this " +
 		"multiple of its present capacity",
-	"cold.fall_after": "how long it bears that before it collapses. Accepted without effect: " +
-		"a server that has just started never gets more than fall_multiple",
-	"prices.cross_hall": "fraction of the value offered that it costs when each request crosses " +
-		"halls once",
-	"prices.probe": "the same for one probe a request",
-	"prices.waste": "the same for as much work wasted as was asked for. Accepted without " +
-		"effect: a budget that successes fill bounds further attempts",
-	"prices.late_fail": "the same for all requests failing only after their latency target. " +
-		"Accepted without effect: the expected wait decides on a rejection, " +
-		"which comes before any attempt",
-	"log.format": "form of a record",
+	"cold.fall_after": "how long a server withstands such a load before it collapses. " +
+		"Accepted without effect: a server that has just started never gets " +
+		"more load than fall_multiple",
+	"prices.cross_hall": "cost, as a fraction of the value offered, if each request crosses " +
+		"once from one hall to another",
+	"prices.probe": "cost, as such a fraction, if there is one probe for each request",
+	"prices.waste": "cost, as such a fraction, if as much work is wasted as was requested. " +
+		"Accepted without effect: a budget that is refilled by successes " +
+		"bounds further attempts",
+	"prices.late_fail": "cost, as such a fraction, if all requests fail after their latency " +
+		"target. Accepted without effect: the expected wait decides on a " +
+		"rejection, which comes before any attempt",
+	"log.format": "format of log records",
 	"log.level":  "lowest level that is logged",
-	"log.repeat": "records a second with the same message; the next one has the number " +
-		"of those left out; 0 is no limit",
-	"log.backlog": "bytes kept while nobody reads the log; records beyond are lost and " +
-		"counted",
+	"log.repeat": "largest number of records a second with the same message; the next " +
+		"one has the number of records left out; 0 is no limit",
+	"log.backlog": "size of the records that are buffered while nobody reads the log; " +
+		"further ones are dropped and counted",
 	"log.requests":       "whether requests are logged, one record for each final response",
 	"log.request_sample": "fraction of the requests that are logged",
 	"log.request_rate":   "largest number of such records a second; 0 is no limit",
-	"class[].name":       "name of the class, as clients give it",
-	"class[].aim":        "latency target: a response this soon earns the full worth",
+	"class[].name":       "name of the class, as in the requests of clients",
+	"class[].aim":        "latency target; a response within this time earns the full worth",
 	"class[].aim_stretch": "the latency target grows by this many times the request's expected " +
 		"work",
-	"class[].deadline": "how long a client waits over all its retries; it is beyond aim",
-	"class[].effect": "what a second run of a request does: nothing (idempotent), nothing " +
-		"within the window (deduplicated), or harm (at_most_once)",
-	"class[].group": "which servers drop the second run of a deduplicated request: all, " +
-		"those of one zone or those of one cell",
-	"class[].window": "how long they drop it",
-	"class[].worth": "value of one response within its latency target, in relation to other " +
+	"class[].deadline": "how long a client waits for the response, including all its retries; " +
+		"at least aim",
+	"class[].effect": "whether executing a request twice is harmless (idempotent), harmless " +
+		"within the window (deduplicated) or harmful (at_most_once)",
+	"class[].group": "which servers drop the second execution of a deduplicated request: " +
+		"all, those of one zone or those of one cell",
+	"class[].window": "how long they drop it after the first execution",
+	"class[].worth": "value of one response within the latency target, relative to other " +
 		"classes",
-	"class[].late_worth": "fraction of the worth that a response between latency target and " +
+	"class[].late_worth": "fraction of worth that a response between the latency target and the " +
 		"deadline earns",
-	"class[].stream": "the response is a stream",
-	"tenant[].name":  "name of the tenant, as clients give it",
-	"tenant[].share": "fraction of the service; all shares add up to 1 at most. Accepted " +
-		"without effect: decisions do not count what a tenant has had",
-	"tenant[].quota": "requests a second inside its share, through all instances. Accepted " +
-		"without effect: the same",
-	"server[].name":    "unique name",
-	"server[].address": "host and port",
-	"server[].hall":    "hall that it stands in, one of halls",
+	"class[].stream": "whether the response is a stream",
+	"tenant[].name":  "name of the tenant, as in the requests of clients",
+	"tenant[].share": "fraction of the service; all shares add up to at most 1. Accepted " +
+		"without effect: decisions do not count the requests of a tenant",
+	"tenant[].quota": "requests a second within its share, through all instances. Accepted " +
+		"without effect, for the same reason",
+	"server[].name":    "name of the server, unique among all servers",
+	"server[].address": "host and port of the server, unique among all servers",
+	"server[].hall":    "hall that the server runs in, one of halls",
 	"server[].kind":    "kind of machine, one of kinds",
-	"server[].cell": "number of its cell; the servers of a cell share what keys they have " +
-		"met",
-	"server[].weight": "capacity in relation to other servers",
-	"server[].drains": "it finishes what it has and gets no new requests",
+	"server[].cell": "number of the server's cell; the servers of a cell share which keys " +
+		"they have had requests of",
+	"server[].weight": "capacity relative to other servers",
+	"server[].drains": "whether the server is draining: it completes its requests and gets no " +
+		"new ones",
 }
--- a/internal/proxy/config/effective.go
+++ b/internal/proxy/config/effective.go
@@ -11,7 +11,7 @@
 	"cresshub/internal/settingsfile"
 )
 
-// Value is one key and its value in force.
+// Value is one key and its effective value.
 type Value struct {
 	Key    string `json:"key"`
 	Value  any    `json:"value"`
@@ -20,7 +20,8 @@
 	Reload string `json:"reload"`
 }
 
-// Effective returns all keys in the order of the reference page, with where each value came from.
+// Effective returns all keys and their effective values, with the source of each: keys outside lists of
+// tables first, in the order of the reference page.
 func (c *Config) Effective() []Value {
 	var all []Value
 	root := reflect.ValueOf(c).Elem()
@@ -50,7 +51,8 @@
 	return all
 }
 
-// displayed returns a value as JSON and people read it: durations and sizes as text with a unit.
+// displayed returns a value in the form for output as text and JSON: durations and sizes are text with a
+// unit.
 func displayed(f *settingsfile.Field, v reflect.Value) any {
 	switch x := v.Interface().(type) {
 	case time.Duration, Size:
@@ -60,8 +62,8 @@
 	}
 }
 
-// Changed returns the keys whose values differ: those that are taken over at once and those that need a
-// restart. Keys that are only read at the start are passed over.
+// Changed returns the keys whose values differ between c and next: those that a running program applies at
+// once and those that need a restart. Keys that are read only at the start are left out.
 func (c *Config) Changed(next *Config) (live, restart []string) {
 	before := map[string]string{}
 	reload := map[string]string{}
@@ -77,11 +79,11 @@
 		reload[v.Key] = v.Reload
 		delete(before, v.Key)
 	}
-	for key := range before { // in a table that next doesn't have
+	for key := range before { // in a table that next does not have
 		changed[key] = true
 	}
 	if (c.Discovery.Address == "") != (next.Discovery.Address == "") {
-		reload["discovery.address"] = settingsfile.Restart // [[server]] tables follow other rules
+		reload["discovery.address"] = settingsfile.Restart // discovery and [[server]] tables differ
 		maps.DeleteFunc(changed, func(key string, _ bool) bool { return strings.HasPrefix(key, "server[") })
 	}
 	for _, key := range slices.Sorted(maps.Keys(changed)) {
@@ -95,7 +97,7 @@
 	return live, restart
 }
 
-// WithLive returns a copy of c with next's values of the keys that change in a running program.
+// WithLive returns a copy of c with next's values of the keys that a running program applies at once.
 func (c *Config) WithLive(next *Config) *Config {
 	merged := *c
 	merged.origins = maps.Clone(c.origins)
--- a/internal/proxy/config/effective_test.go
+++ b/internal/proxy/config/effective_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestChangedTellsLiveKeysFromThoseThatNeedARestart(t *testing.T) {
+func TestChangedSeparatesLiveKeysFromRestartKeys(t *testing.T) {
 	base, _ := loadTOML(small)
 	servers := strings.Replace(small, "address = \"127.0.0.1:8500\"", "", 1) +
 		"[[server]]\nname=\"a\"\naddress=\"127.0.0.1:1\"\n"
@@ -41,13 +41,14 @@
 			t.Error(c.to, diff)
 		}
 		if again, _ := c.from.WithLive(next).Changed(next); len(again) > 0 && restart == nil {
-			t.Errorf("not taken over: %v", again)
+			t.Errorf("still changed after WithLive: %v", again)
 		}
 	}
 }
 
-// The others keep their time of start.
-func TestServersAddedByAReloadCountAsJustStarted(t *testing.T) {
+// A server that a reload adds counts as started at that time; the servers listed before keep their start
+// time.
+func TestServersAddedByReloadCountAsJustStarted(t *testing.T) {
 	c := &Config{Servers: []Server{{Name: "a", Address: "127.0.0.1:1"}}}
 	since := map[string]time.Time{}
 	c.ServerList(time.Time{}, since)
@@ -67,6 +68,6 @@
 	c.Servers = c.Servers[1:]
 	c.ServerList(time.UnixMilli(99), since)
 	if len(since) != 1 {
-		t.Errorf("%v kept for servers that left", since)
+		t.Errorf("start times are kept for removed servers: %v", since)
 	}
 }
--- a/internal/proxy/config/load.go
+++ b/internal/proxy/config/load.go
@@ -12,18 +12,19 @@
 	"cresshub/internal/settingsfile"
 )
 
-// Input is where a configuration is read from. Nil functions stand for the process's own.
+// Input is the sources of a configuration. Nil functions stand for os.Environ and os.ReadFile.
 type Input struct {
-	File    string            // own file; "" for the one that CRESSHUB_CONFIG names, if any
+	File    string            // path of the operator's file; "" for the one that CRESSHUB_CONFIG names, if any
 	Flags   map[string]string // values by key
 	Environ func() []string
 	Read    func(path string) ([]byte, error)
-	// Reload is set where a running program reads again: the platform may have replaced its file since the
-	// start, so the file's discovery address has precedence over EDGE_DISCOVERY, which can't have changed.
+	// Reload is set when a running program reads its configuration again: the platform may have replaced its
+	// file since the start, so the file's discovery address overrides EDGE_DISCOVERY, which cannot have
+	// changed.
 	Reload bool
 }
 
-// platformKeys are the keys that the platform's variables set.
+// platformKeys maps the platform's environment variables to the keys that they set.
 var platformKeys = map[string]string{
 	"EDGE_NAME": "name", "EDGE_LISTEN": "listen.address", "EDGE_DISCOVERY": "discovery.address",
 	"EDGE_OPERATOR": "operator",
@@ -75,7 +76,7 @@
 	return c, nil
 }
 
-// addFile adds the own file.
+// addFile adds the values of the operator's file.
 func addFile(b *settingsfile.Builder, path string, read func(string) ([]byte, error)) {
 	raw, err := read(path)
 	if err != nil {
@@ -87,11 +88,11 @@
 	b.Add(layer)
 }
 
-// environment reads the variables that set keys. One with the program's own prefix that sets no key is a
-// mistake.
+// environment reads the environment variables that set keys. A variable with the prefix CRESSHUB_ that sets
+// no key is a mistake, except CRESSHUB_CONFIG.
 func environment(env map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	layer := settingsfile.NewLayer()
-	ownKeys := map[string]string{} // keys by the program's own variables
+	ownKeys := map[string]string{} // maps variables with the prefix CRESSHUB_ to keys
 	for _, f := range schema().Fields {
 		if variable := schema().EnvVar(f); variable != "" {
 			ownKeys[variable] = f.Path
@@ -103,7 +104,7 @@
 		platformKey, isPlatform := platformKeys[name]
 		switch {
 		case isPlatform && env[name] != "":
-			if _, set := layer.Values[platformKey]; !set { // the program's own variable has precedence
+			if _, set := layer.Values[platformKey]; !set { // a CRESSHUB_ variable has precedence
 				layer.Set(platformKey, settingsfile.Text(env[name]), origin)
 			}
 		case isOwn:
@@ -119,21 +120,21 @@
 	return layer
 }
 
-// flags reads the values that flags set by key.
-func flags(set map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
+// flags reads the values that command-line flags set, by key.
+func flags(values map[string]string, problems *settingsfile.SettingErrors) *settingsfile.Layer {
 	layer := settingsfile.NewLayer()
-	for _, path := range slices.Sorted(maps.Keys(set)) {
+	for _, path := range slices.Sorted(maps.Keys(values)) {
 		origin := settingsfile.NewOrigin(sourceFlag, "--set "+path)
 		if _, ok := schema().Resolve(path); !ok || strings.Contains(path, "[]") {
-			problems.Add(origin, path, "is no key that a flag sets%s", schema().Suggest(path))
+			problems.Add(origin, path, "is no key that a flag can set%s", schema().Suggest(path))
 			continue
 		}
-		layer.Set(path, settingsfile.Text(set[path]), origin)
+		layer.Set(path, settingsfile.Text(values[path]), origin)
 	}
 	return layer
 }
 
-// RandomSeed returns the seed of random choices: as set, or one drawn when the configuration was loaded.
+// RandomSeed returns the seed of random decisions: the one that is set, or else one that Load drew.
 func (c *Config) RandomSeed() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
--- a/internal/proxy/config/platform.go
+++ b/internal/proxy/config/platform.go
@@ -16,7 +16,7 @@
 // maxMemoryMB bounds limits.memory_mb, in MiB: 1 TiB.
 const maxMemoryMB = 1 << 20
 
-// platformFile is the platform's file, as the operators' page describes it.
+// platformFile is the format of the platform's file.
 type platformFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -28,12 +28,12 @@
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"`    // list of servers, in the form of package serverlist
-	Settings json.RawMessage `json:"settings"` // of the balancer, in the simulator's form; see package simwire
+	Known    json.RawMessage `json:"known"`    // list of servers, in the format of package serverlist
+	Settings json.RawMessage `json:"settings"` // of the balancer, in the simulator's format; see package simwire
 }
 
-// readPlatform reads the platform's file as values of the keys of the own file. Its list of servers goes to
-// c.KnownServers.
+// readPlatform reads the platform's file and returns its values under the keys of the operator's file. It
+// stores the file's list of servers in c.KnownServers.
 func readPlatform(path string, read func(string) ([]byte, error), c *Config) (*settingsfile.Layer, error) {
 	raw, err := read(path)
 	if err != nil {
@@ -47,7 +47,7 @@
 		return nil, fmt.Errorf("field %q: %w", "seed", err)
 	}
 	if size := file.Limits.MemoryMB; size < 0 || size > maxMemoryMB {
-		return nil, fmt.Errorf("field %q: %d is no size", "limits.memory_mb", size)
+		return nil, fmt.Errorf("field %q: %d MiB is out of range", "limits.memory_mb", size)
 	}
 	if len(file.Settings) == 0 {
 		return nil, fmt.Errorf("field %q is missing", "settings")
@@ -57,7 +57,7 @@
 		return nil, fmt.Errorf("field %q: %w", "settings", err)
 	}
 	if file.Listen == "" && file.Discovery == "" && len(settings.Classes) == 0 {
-		return nil, errors.New("says nothing")
+		return nil, errors.New("has no listen address, no discovery address and no classes")
 	}
 	if string(file.Known) != "null" {
 		c.KnownServers = file.Known
@@ -80,7 +80,8 @@
 	return layer, nil
 }
 
-// putSettings puts the simulator's settings under the keys of the own file; Config.Settings is the inverse.
+// putSettings puts the simulator's settings under the keys of the operator's file; Config.Settings is the
+// inverse.
 func putSettings(s *simwire.Settings, put func(key string, v any)) {
 	hall := hallNumberPrefix + strconv.Itoa(s.Zone)
 	if s.Zone >= 0 && s.Zone < len(s.ZoneNames) {
@@ -134,7 +135,7 @@
 	}
 }
 
-// keyOf returns the first key, in their order, that has a value; "" where none has.
+// keyOf returns the first key, in sorted order, whose value is value; "" if there is none.
 func keyOf[T comparable](values map[string]T, value T) string {
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		if values[key] == value {
@@ -144,7 +145,7 @@
 	return ""
 }
 
-// Settings returns the balancer's settings, with the names and times that the other parts need.
+// Settings returns the balancer's settings, with the names and times that other packages need.
 func (c *Config) Settings() simwire.Settings {
 	s := simwire.Settings{
 		Settings: c.balanceSettings(), ZoneNames: c.Halls, KindNames: c.Kinds, IdleClose: c.Upstream.IdleClose,
@@ -172,8 +173,8 @@
 	return s
 }
 
-// balanceSettings returns the single values of the balancer's settings. Settings adds classes, tenants and
-// the fields of load reports.
+// balanceSettings returns the balancer's settings without its lists. Settings adds these: classes, tenants
+// and the fields of load reports.
 func (c *Config) balanceSettings() balance.Settings {
 	p, slowStart := &c.Policy, &c.SlowStart
 	return balance.Settings{
--- a/internal/proxy/config/platform_test.go
+++ b/internal/proxy/config/platform_test.go
@@ -12,8 +12,8 @@
 	"cresshub/internal/proxy/simwire"
 )
 
-// The platform's settings must reach the balancer as the simulator's protocol gives them, whatever the form
-// in between.
+// The platform's settings must reach the balancer as package simwire decodes them, although Load converts
+// them to keys of the configuration and back.
 func TestPlatformSettingsAreUnchanged(t *testing.T) {
 	for _, text := range []string{settings, `{"grades":[{"aim-ms":1,"deadline-ms":2,"effect":"at_most_once",
 		"name":"x"}],"locality":3}`} {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestPlatformFileWithAMistakeIsRejected(t *testing.T) {
+func TestInvalidPlatformFileIsRejected(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"no JSON", `{"name"`, `{name`, "p.json"},
 		{"seed", "8c1f", "xyz", `"seed"`},
@@ -55,9 +55,9 @@
 	}
 }
 
-// A count of proxies or a rank in the platform's settings that is absent, zero, negative, out of range or no
-// number: either a plain message that names it, or settings that the balancer takes.
-func TestPlatformCountsOfProxiesAreCheckedOrTaken(t *testing.T) {
+// If the count of proxies or the rank in the platform's settings is absent, zero, negative, out of range or
+// not an integer, Load returns either an error that names it or settings that the balancer accepts.
+func TestPlatformProxyCountsAreAcceptedOrRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		`"balancers":4,"rank":2`:                    "",
 		`"x":1`:                                     "", // both absent
@@ -87,12 +87,12 @@
 		}
 		b, err := balance.New(c.Settings().Settings, 0)
 		if err != nil {
-			t.Errorf("%s: the decisions do not take it: %v", text, err)
+			t.Errorf("%s: the balancer rejects it: %v", text, err)
 			continue
 		}
 		b.List(0, balance.ListFull, []balance.Server{{ID: 1}, {ID: 2}}, nil)
 		if acts := b.Request(0, balance.Request{ID: "r", Deadline: time.Second}, nil); len(acts) == 0 {
-			t.Errorf("%s: a request comes to nothing", text)
+			t.Errorf("%s: a request leads to no action", text)
 		}
 	}
 }
--- a/internal/proxy/config/reference.go
+++ b/internal/proxy/config/reference.go
@@ -7,23 +7,23 @@
 	"cresshub/internal/settingsfile"
 )
 
-// sections returns the names of the sections, in the order of the struct, and the keys of each.
-func sections() (names []string, by map[string][]*settingsfile.Field) {
-	by = map[string][]*settingsfile.Field{}
+// sections returns the names of the sections, in the order of the fields of Config, and the keys of each.
+func sections() (names []string, keys map[string][]*settingsfile.Field) {
+	keys = map[string][]*settingsfile.Field{}
 	for _, f := range schema().Fields {
 		name, _, nested := strings.Cut(f.Path, ".")
 		if !nested {
 			name = ""
 		}
-		if _, ok := by[name]; !ok {
+		if _, ok := keys[name]; !ok {
 			names = append(names, name)
 		}
-		by[name] = append(by[name], f)
+		keys[name] = append(keys[name], f)
 	}
-	return names, by
+	return names, keys
 }
 
-// heading is how TOML begins a section, or a table of a list.
+// heading returns the TOML header of a section, or of a table of a list.
 func heading(section string) string {
 	if list, ok := strings.CutSuffix(section, "[]"); ok {
 		return "[[" + list + "]]"
@@ -31,33 +31,37 @@
 	return "[" + section + "]"
 }
 
-// lastKey is a key's name within its section.
-func lastKey(f *settingsfile.Field) string { return f.Path[strings.LastIndexByte(f.Path, '.')+1:] }
+// nameInSection returns a key's name within its section.
+func nameInSection(f *settingsfile.Field) string {
+	return f.Path[strings.LastIndexByte(f.Path, '.')+1:]
+}
 
 const preface = `# Configuration
 
-Every key of cresshub.toml. This page is written by "cresshub config docs" from the program itself and a
-test fails where it is stale; change the fields in internal/proxy/config, not this page.
-
-- **Form.** TOML. Times and sizes carry a unit ("250ms", "64KiB"); a bare number where a unit belongs is an
-  error. An unknown key is an error and gets the likely one. All mistakes of a file are reported at once.
-- **Precedence.** Flags, then variables, then the platform's file (EDGE_CONFIG), then this file, then
-  defaults. Each key outside a list of tables has a variable: CRESSHUB_ and its path in capitals with "_"
-  for ".", so CRESSHUB_LOG_LEVEL. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_OPERATOR set name,
-  listen.address, discovery.address and operator. CRESSHUB_CONFIG names the file where no flag does.
-- **Reload.** On SIGHUP the file is read again. "live" keys are taken over at once. If a "restart" key has
-  changed, the whole reload is refused and the log names the key; no part of it is taken over. "start"
-  keys are read at the start alone, and a change is passed over. From the platform's file only live keys
-  are taken and the rest waits for the restart.
-- **Checks.** "cresshub config check FILE" lists all mistakes, "cresshub config show" the values in force
-  and where each comes from, "cresshub config init" writes a file to begin with.
+Every key of cresshub.toml. "cresshub config docs" generates this page from the fields in
+internal/proxy/config, and a test fails if it is stale; change the fields, not this page.
+
+- **Format.** TOML. Times and sizes have a unit ("250ms", "64KiB"); a number without its unit is an error.
+  An unknown key is an error, and the message suggests a similar key. All mistakes in a file are reported at
+  once.
+- **Precedence.** Flags override environment variables, which override the platform's file (EDGE_CONFIG),
+  which overrides this file, which overrides the defaults. Each key that is not in a list of tables has a
+  variable: CRESSHUB_ and its path in capitals with "_" for ".", for example CRESSHUB_LOG_LEVEL.
+  EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_OPERATOR set name, listen.address, discovery.address and
+  operator. CRESSHUB_CONFIG names the file if no flag does.
+- **Reload.** On SIGHUP the file is read again. Changes of "live" keys apply at once. If a "restart" key has
+  changed, the whole reload is rejected: no change applies, and the log names the key. "start" keys are read
+  only at the start, and a change is ignored. From the platform's file only changes of live keys apply; the
+  others wait for the restart.
+- **Checks.** "cresshub config check FILE" prints all mistakes, "cresshub config show" the effective values
+  and the source of each, and "cresshub config init" writes an initial file.
 `
 
-// Reference returns the reference page of all keys, docs/CONFIGURATION.md.
+// Reference returns docs/CONFIGURATION.md, the reference page of all keys.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString(preface)
-	names, by := sections()
+	names, keys := sections()
 	for _, name := range names {
 		if name == "" {
 			b.WriteString("\n## At the top\n")
@@ -65,27 +69,27 @@
 			fmt.Fprintf(&b, "\n## %s\n", heading(name))
 		}
 		b.WriteString("\n| key | default | kind | allowed | reload |\n| --- | --- | --- | --- | --- |\n")
-		for _, f := range by[name] {
+		for _, f := range keys[name] {
 			def := "`" + f.Default + "`"
 			if f.Required {
 				def = "must be set"
 			} else if f.Default == "" {
 				def = "empty"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", lastKey(f), def, f.Kind(), f.Allowed(), f.Reload)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", nameInSection(f), def, f.Kind(), f.Allowed(), f.Reload)
 		}
 		b.WriteString("\n")
-		for _, f := range by[name] {
-			b.WriteString(wrap(fmt.Sprintf("- `%s`: %s.", lastKey(f), descriptions[f.Path]), "  "))
+		for _, f := range keys[name] {
+			b.WriteString(wrap(fmt.Sprintf("- `%s`: %s.", nameInSection(f), descriptions[f.Path]), "  "))
 		}
 	}
 	return b.String()
 }
 
-// pageWidth is the longest line of the texts made here, in bytes.
+// pageWidth is the largest length of a line that wrap makes, in bytes.
 const pageWidth = 105
 
-// wrap breaks text into lines of pageWidth and indents all but the first.
+// wrap breaks text into lines of at most pageWidth bytes and begins all but the first with indent.
 func wrap(text, indent string) string {
 	var b strings.Builder
 	left := pageWidth
@@ -105,12 +109,12 @@
 	return b.String() + "\n"
 }
 
-const initialHeader = `# Configuration of cresshub. Lines that begin with "#" show defaults; what stands
-# without it is an example to be changed. "cresshub config check FILE" lists every mistake.
+const initialHeader = `# Configuration of cresshub. Lines that begin with "#" are descriptions and
+# defaults; the others are examples to be changed. "cresshub config check FILE" prints all mistakes.
 
 `
 
-// examples are the keys that a first file sets, in the form of the file.
+// examples are the values, in TOML, of the keys that an initial file sets.
 var examples = map[string]string{
 	"halls": `["kita"]`, "listen.address": `"127.0.0.1:8080"`, "policy.hall": `"kita"`,
 	"class[].name": `"zone-lookup"`, "class[].aim": `"600ms"`, "class[].deadline": `"1500ms"`,
@@ -119,22 +123,22 @@
 	"server[].name": `"zone-1"`, "server[].address": `"127.0.0.1:9001"`, "server[].hall": `"kita"`,
 }
 
-// InitialFile returns a file to begin with: every key with its documentation, set to an example or, as a
-// comment, to its default.
+// InitialFile returns an initial configuration file: every key with its description, set to an example or, in
+// a comment, to its default.
 func InitialFile() string {
 	var b strings.Builder
 	b.WriteString(initialHeader)
-	names, by := sections()
+	names, keys := sections()
 	for _, name := range names {
 		if name != "" {
 			fmt.Fprintf(&b, "\n%s\n", heading(name))
 		}
-		for _, f := range by[name] {
+		for _, f := range keys[name] {
 			b.WriteString(wrap("# "+descriptions[f.Path], "# "))
 			if set, ok := examples[f.Path]; ok {
-				fmt.Fprintf(&b, "%s = %s\n", lastKey(f), set)
+				fmt.Fprintf(&b, "%s = %s\n", nameInSection(f), set)
 			} else {
-				fmt.Fprintf(&b, "#%s = %s\n", lastKey(f), defaultTOML(f))
+				fmt.Fprintf(&b, "#%s = %s\n", nameInSection(f), defaultTOML(f))
 			}
 		}
 	}
@@ -149,7 +153,7 @@
 	return b.String()
 }
 
-// defaultTOML returns a key's default as the file would hold it.
+// defaultTOML returns a key's default in TOML.
 func defaultTOML(f *settingsfile.Field) string {
 	v, err := f.Decode(settingsfile.Text(f.Default))
 	if err != nil {
--- a/internal/proxy/config/reference_test.go
+++ b/internal/proxy/config/reference_test.go
@@ -10,8 +10,9 @@
 	"cresshub/internal/settingsfile"
 )
 
-// The page and the first file come from the same fields as the checks.
-func TestReferenceAndInitialFileMatchTheTags(t *testing.T) {
+// The reference page and the initial file are derived from the same fields as the checks: the page is up to
+// date, and Load accepts the file as written and with every default uncommented.
+func TestReferenceAndInitialFileMatchTags(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +23,7 @@
 	if _, err := loadTOML(InitialFile()); err != nil {
 		t.Error(err)
 	}
-	commented := strings.ReplaceAll(InitialFile(), "\n#", "\n") // every default as the file would hold it
+	commented := strings.ReplaceAll(InitialFile(), "\n#", "\n") // with every default in effect
 	var lines []string
 	for l := range strings.Lines(commented) {
 		key, _, set := strings.Cut(l, " = ")
@@ -33,7 +34,7 @@
 	if _, err := loadTOML(strings.Join(lines, "")); err != nil {
 		t.Error(err)
 	}
-	for _, f := range schema().Fields { // bounds that can be read, and defaults within them
+	for _, f := range schema().Fields { // each default is valid and within its bounds
 		if descriptions[f.Path] == "" || f.Reload != settingsfile.Live && f.Reload != settingsfile.Restart &&
 			f.Reload != settingsfile.AtStart {
 			t.Errorf("%s: doc %q, reload %q", f.Path, descriptions[f.Path], f.Reload)
--- a/internal/proxy/config/section_log.go
+++ b/internal/proxy/config/section_log.go
@@ -2,17 +2,18 @@
 
 // Log is what is logged, and how.
 type Log struct {
-	// format: form of a record.
+	// format: format of log records.
 	Format string `key:"format" default:"text" enum:"text|json"`
 
 	// level: lowest level that is logged.
 	Level string `key:"level" default:"info" enum:"debug|info|warn|error" reload:"live"`
 
-	// repeat: records a second with the same message; the next one has the number of those left out; 0 is no
-	// limit.
+	// repeat: largest number of records a second with the same message; the next one has the number of records
+	// left out; 0 is no limit.
 	RepeatRate float64 `key:"repeat" default:"5" min:"0" max:"100000" reload:"live"`
 
-	// backlog: bytes kept while nobody reads the log; records beyond are lost and counted.
+	// backlog: size of the records that are buffered while nobody reads the log; further ones are dropped and
+	// counted.
 	Backlog Size `key:"backlog" default:"256KiB" min:"4KiB" max:"64MiB"`
 
 	// requests: whether requests are logged, one record for each final response.
