--- a/cmd/cresshub-simhost/main_test.go
+++ b/cmd/cresshub-simhost/main_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-const empty = `{"sim-time-ms":1,"n":1,"happened":[]}` + "\n"
+const emptyBatch = `{"sim-time-ms":1,"n":1,"happened":[]}` + "\n"
 
 func TestServe(t *testing.T) {
 	for name, c := range map[string]struct {
 		in, out string
 		fails   bool
 	}{
-		"end between batches": {empty, `{"actions":[],"n":1}` + "\n", false},
+		"end between batches": {emptyBatch, `{"actions":[],"n":1}` + "\n", false},
 		"no input":            {"", "", false},
 		"end inside a line":   {`{"sim-time-ms":1,"n":1,"happ`, "", true},
 		"bad line":            {"{}\n", "", true},
@@ -32,7 +32,7 @@
 
 // Lines shorter and longer than the buffer come whole and in order, and the rest without an end comes with
 // io.EOF.
-func TestLinesOfAnyLength(t *testing.T) {
+func TestLineReaderReturnsWholeLines(t *testing.T) {
 	want := []string{"short\n", strings.Repeat("long", 20) + "\n", "\n", strings.Repeat("longer", 40) + "\n",
 		"rest"}
 	lines := &lineReader{in: bufio.NewReaderSize(strings.NewReader(strings.Join(want, "")), 16)}
--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -28,7 +28,7 @@
 // server that answers at once. What client and server cost is the same beside each rival of a run.
 
 // drive sends b.N requests and reads their answers.
-func drive(b *testing.B, address string) {
+func sendRequests(b *testing.B, address string) {
 	b.Helper()
 	var ids atomic.Int64
 	b.ReportAllocs()
@@ -57,7 +57,7 @@
 	b.StopTimer()
 }
 
-func quickZone(b *testing.B) *nettest.ScriptedServer {
+func startFastServer(b *testing.B) *nettest.ScriptedServer {
 	b.Helper()
 	return nettest.Serve(b, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("done\n") }))
 }
@@ -66,8 +66,8 @@
 // through ingress, decide and upstream in this process: with the log of requests off and on, and with the
 // ledger on.
 func BenchmarkRequest(b *testing.B) {
-	zone := quickZone(b)
-	b.Run("direct", func(b *testing.B) { drive(b, zone.Address) })
+	zone := startFastServer(b)
+	b.Run("direct", func(b *testing.B) { sendRequests(b, zone.Address) })
 	b.Run("ReverseProxy", func(b *testing.B) {
 		target := &url.URL{Scheme: "http", Host: zone.Address}
 		proxy := httputil.NewSingleHostReverseProxy(target)
@@ -79,20 +79,20 @@
 		server := &http.Server{Handler: proxy}
 		go server.Serve(l)
 		defer server.Close()
-		drive(b, l.Addr().String())
+		sendRequests(b, l.Addr().String())
 	})
 	for _, c := range []struct{ name, set string }{
 		{"cresshub", ""}, {"cresshub-log", "[log]\nrequests = true\nrequest_rate = 0.0\n"},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p, end := proxy(b, own(zone)+c.set)
-			drive(b, p.Address())
+			p, end := runProxy(b, tomlConfig(zone)+c.set)
+			sendRequests(b, p.Address())
 			end()
 		})
 	}
 	// The ledger on, with all three of its replicas in this process: what the other two cost is in it too.
 	b.Run("cresshub-ledger", func(b *testing.B) {
-		gossip, adminAddress := free(b), free(b)
+		gossip, adminAddress := unusedAddress(b), unusedAddress(b)
 		var first *daemon.Proxy
 		for i, seeds := range []string{"", gossip, gossip} {
 			text := fmt.Sprintf("name = \"m-%d\"\n", i)
@@ -100,12 +100,12 @@
 			if i == 0 {
 				text, bind = text+fmt.Sprintf("operator = %q\n", adminAddress), gossip
 			}
-			text += own(zone) + fmt.Sprintf("[fleet]\nbind = %q\n", bind)
+			text += tomlConfig(zone) + fmt.Sprintf("[fleet]\nbind = %q\n", bind)
 			if seeds != "" {
 				text += fmt.Sprintf("seeds = [%q]\n", seeds)
 			}
 			text += fmt.Sprintf("[ledger]\nbind = \"127.0.0.1:0\"\ndata = %q\n", b.TempDir())
-			p, end := proxy(b, text)
+			p, end := runProxy(b, text)
 			defer end()
 			if first == nil {
 				first = p
@@ -125,12 +125,12 @@
 				b.Fatalf("the group has not formed: %+v (%v)", page, err)
 			}
 		}
-		drive(b, first.Address())
+		sendRequests(b, first.Address())
 	})
 }
 
 // free is an address that nobody listens at now.
-func free(b *testing.B) string {
+func unusedAddress(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,7 +141,7 @@
 }
 
 // proxy runs a proxy in this process with a configuration; end ends it as SIGINT does.
-func proxy(b *testing.B, text string) (p *daemon.Proxy, end func()) {
+func runProxy(b *testing.B, text string) (p *daemon.Proxy, end func()) {
 	b.Helper()
 	file := filepath.Join(b.TempDir(), "c.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -174,31 +174,31 @@
 	if binaries == "" {
 		b.Skip("BENCH_BINARIES names none")
 	}
-	zone := quickZone(b)
+	zone := startFastServer(b)
 	for pair := range strings.SplitSeq(binaries, ",") {
 		name, path, _ := strings.Cut(pair, "=")
 		b.Run(name, func(b *testing.B) {
 			file := filepath.Join(b.TempDir(), "config.json")
-			text := configuration("127.0.0.1:1", known("in_service", zone), 200)
+			text := platformConfig("127.0.0.1:1", serverList("in_service", zone), 200)
 			text = strings.Replace(text, `"memory_mb":64`, `"memory_mb":32`, 1)
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				b.Fatal(err)
 			}
 			began := time.Now()
-			p := spawn(b, exec.Command(path), file, "EDGE_CONFIG="+file)
-			_, address, _ := strings.Cut(p.expect(b, "msg=ready"), "listen=")
+			p := startCommand(b, exec.Command(path), file, "EDGE_CONFIG="+file)
+			_, address, _ := strings.Cut(p.waitForLog(b, "msg=ready"), "listen=")
 			ready := time.Since(began)
-			idle := resident(b, p.cmd.Process.Pid)
-			drive(b, address)
+			idle := residentMB(b, p.cmd.Process.Pid)
+			sendRequests(b, address)
 			b.ReportMetric(float64(ready.Microseconds())/1000, "start-ms")
 			b.ReportMetric(idle, "idle-MB")
-			b.ReportMetric(resident(b, p.cmd.Process.Pid), "loaded-MB")
+			b.ReportMetric(residentMB(b, p.cmd.Process.Pid), "loaded-MB")
 		})
 	}
 }
 
 // resident is a process's resident memory in MB.
-func resident(b *testing.B, pid int) float64 {
+func residentMB(b *testing.B, pid int) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -23,9 +23,9 @@
 
 // pattern is a body of any length. Its bytes depend on their positions, so that lost ones change its
 // checksum.
-type pattern struct{ at, size int64 }
+type patternReader struct{ at, size int64 }
 
-func (p *pattern) Read(to []byte) (int, error) {
+func (p *patternReader) Read(to []byte) (int, error) {
 	n := int(min(int64(len(to)), p.size-p.at))
 	if n == 0 {
 		return 0, io.EOF
@@ -38,7 +38,7 @@
 }
 
 // sum reads all of r and returns its checksum and its length.
-func sum(r io.Reader) (checksum uint32, length int64, err error) {
+func readChecksum(r io.Reader) (checksum uint32, length int64, err error) {
 	hash := crc32.NewIEEE()
 	length, err = io.Copy(hash, r)
 	return hash.Sum32(), length, err
@@ -47,7 +47,7 @@
 // largeZone starts a zone server and returns its address. Its responses have a body as long as the query's
 // size, chunked where the query says so, and a header with length and checksum of the request's body. raw, if
 // not nil, may write the response instead: where it returns true the connection ends.
-func largeZone(t *testing.T, raw func(q *http1.Request, body *http1.Body, c *connbuffer.Conn) bool) string {
+func startLargeBodyServer(t *testing.T, raw func(q *http1.Request, body *http1.Body, c *connbuffer.Conn) bool) string {
 	t.Helper()
 	return nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
@@ -63,7 +63,7 @@
 			if raw != nil && raw(q, body, c) {
 				return
 			}
-			got, n, err := sum(body)
+			got, n, err := readChecksum(body)
 			if err != nil {
 				return
 			}
@@ -77,7 +77,7 @@
 			}
 			w, err := a.Begin(c.Out, false)
 			if err == nil && q.Method != "HEAD" {
-				err = send(&w, length)
+				err = writePatternBody(&w, length)
 			}
 			if err != nil || c.Flush() != nil {
 				return
@@ -87,8 +87,8 @@
 }
 
 // send writes a pattern as a body.
-func send(w *http1.BodyWriter, length int64) error {
-	if _, err := io.CopyBuffer(struct{ io.Writer }{w}, &pattern{size: length}, make([]byte, 8000)); err != nil {
+func writePatternBody(w *http1.BodyWriter, length int64) error {
+	if _, err := io.CopyBuffer(struct{ io.Writer }{w}, &patternReader{size: length}, make([]byte, 8000)); err != nil {
 		return err
 	}
 	return w.Close()
@@ -97,30 +97,30 @@
 // upload sends a request with a large body, chunked where its length is -1.
 func upload(c *connbuffer.Conn, id string, length, size int64) error {
 	q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(
-		large("POST", "assign", id, "size=0", time.Hour))))
+		largeRequestHead("POST", "assign", id, "size=0", time.Hour))))
 	if err != nil {
 		return err
 	}
 	q.Length = length
 	w, err := q.Begin(c.Out)
 	if err == nil {
-		err = send(&w, size)
+		err = writePatternBody(&w, size)
 	}
 	return errors.Join(err, c.Flush())
 }
 
 // listOf is a full list with one server.
-func listOf(address string) string {
+func singleServerList(address string) string {
 	return nettest.List(true, "in_service", map[string]string{"s-0": address})
 }
 
 // large is the head of a request to a largeZone, with a query.
-func large(method, class, id, query string, wait time.Duration) string {
+func largeRequestHead(method, class, id, query string, wait time.Duration) string {
 	return strings.Replace(nettest.Request(method, class, id, wait), "/api?", "/api?"+query+"&", 1)
 }
 
 // raceDetectorOn reports whether the test, and so the program, was built with the race detector.
-func raceDetectorOn() bool {
+func raceDetectorEnabled() bool {
 	info, _ := debug.ReadBuildInfo()
 	return slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }
@@ -129,10 +129,10 @@
 // program may use, while small requests are still served.
 func TestLargeBodiesInBoundedMemory(t *testing.T) {
 	const size, transfers = 32 << 20, 12
-	raced := raceDetectorOn()
-	config := configuration(nettest.NewDiscovery(t).Address, listOf(largeZone(t, nil)), 300)
-	p := startWith(t, neverQueued(config))
-	want, _, _ := sum(&pattern{size: size})
+	raced := raceDetectorEnabled()
+	config := platformConfig(nettest.NewDiscovery(t).Address, singleServerList(startLargeBodyServer(t, nil)), 300)
+	p := startWithConfig(t, withLongDeadline(config))
+	want, _, _ := readChecksum(&patternReader{size: size})
 	var all sync.WaitGroup
 	for i := range transfers {
 		all.Go(func() {
@@ -158,14 +158,14 @@
 			if i%2 == 0 {
 				kind = "chunked"
 			}
-			io.WriteString(c, large("GET", "lookup", fmt.Sprint("down-", i), kind+"&size="+fmt.Sprint(size),
+			io.WriteString(c, largeRequestHead("GET", "lookup", fmt.Sprint("down-", i), kind+"&size="+fmt.Sprint(size),
 				time.Hour))
 			a, b, err := http1.ReadResponseHead(c.In, "GET")
 			if err != nil || a.Status != 200 {
 				t.Errorf("download %d: %+v, %v", i, a, err)
 				return
 			}
-			if got, n, err := sum(b); err != nil || got != want || n != size {
+			if got, n, err := readChecksum(b); err != nil || got != want || n != size {
 				t.Errorf("download %d: %d bytes, sum %d, %v", i, n, got, err)
 			}
 		})
@@ -175,7 +175,7 @@
 	for i := range 50 {
 		asked := time.Now()
 		small.SetDeadline(asked.Add(nettest.Patience))
-		a := nettest.Ask(t, small, large("GET", "lookup", fmt.Sprint("small-", i), "size=10", time.Hour))
+		a := nettest.Ask(t, small, largeRequestHead("GET", "lookup", fmt.Sprint("small-", i), "size=10", time.Hour))
 		if a.Status != 200 || len(a.Body) != 10 {
 			t.Errorf("small one: %d", a.Status)
 		}
@@ -200,14 +200,14 @@
 }
 
 // X-Timeout counts from the last byte of a request, however long its head and body take to arrive.
-func TestSlowRequestHasAllItsTime(t *testing.T) {
+func TestTimeoutStartsAfterLastRequestByte(t *testing.T) {
 	const timeout = 3 * time.Second
-	p := start(t, nettest.NewDiscovery(t).Address, listOf(largeZone(t, nil)), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(startLargeBodyServer(t, nil)), 200)
 	for _, size := range []int{100, 100_000} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			c := nettest.Dial(t, p.address)
-			text := strings.Replace(large("POST", "assign", fmt.Sprint(size), "size=0", timeout), "\r\n\r\n",
+			text := strings.Replace(largeRequestHead("POST", "assign", fmt.Sprint(size), "size=0", timeout), "\r\n\r\n",
 				fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n", size), 1)
 			for _, part := range []string{text[:5], text[5:60], text[60:], strings.Repeat("x", size/2)} {
 				io.WriteString(c, part)
@@ -224,14 +224,14 @@
 
 // A large request whose server closes the connection before the last byte never ran. It is rejected, and not
 // sent again, because its beginning was not buffered.
-func TestBrokenUpload(t *testing.T) {
+func TestServerClosesDuringUpload(t *testing.T) {
 	attempts := make(chan bool, 9)
-	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
+	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		attempts <- true
 		io.CopyN(io.Discard, b, 100_000)
 		return true
 	})
-	p := start(t, nettest.NewDiscovery(t).Address, listOf(zone), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(zone), 200)
 	c := nettest.Dial(t, p.address)
 	go upload(c, "1", 30_000_000, 30_000_000)
 	a, err := http1.ReadResponse(c.In)
@@ -243,18 +243,18 @@
 // When a client stops in the middle of a large body, its server can tell that the request is not complete.
 // The client disconnects only after the attempt has reached the server, as there would be no attempt
 // otherwise.
-func TestBodyThatStops(t *testing.T) {
+func TestClientStopsDuringUpload(t *testing.T) {
 	began, ended := make(chan bool, 1), make(chan error, 1)
-	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
+	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		began <- true
-		_, _, err := sum(b)
+		_, _, err := readChecksum(b)
 		ended <- err
 		return true
 	})
-	p := start(t, nettest.NewDiscovery(t).Address, listOf(zone), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(zone), 200)
 	for _, framing := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
 		c := nettest.Dial(t, p.address)
-		text := strings.Replace(large("POST", "assign", framing, "size=0", time.Minute), "\r\n\r\n",
+		text := strings.Replace(largeRequestHead("POST", "assign", framing, "size=0", time.Minute), "\r\n\r\n",
 			"\r\n"+framing+"\r\n\r\n", 1)
 		if framing[0] == 'T' {
 			text += "186a0\r\n"
@@ -285,8 +285,8 @@
 
 // When a server breaks off its response after the head was passed on, the client can tell that it is not
 // complete, whatever its framing, and the request counts as failed.
-func TestBrokenAnswer(t *testing.T) {
-	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
+func TestServerClosesDuringResponse(t *testing.T) {
+	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		framing, text := "Content-Length: 300000", strings.Repeat("x", 100_000)
 		if strings.Contains(q.Target, "chunked") {
 			framing, text = "Transfer-Encoding: chunked", "186a0\r\n"+text+"\r\n"
@@ -294,10 +294,10 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n"+text)
 		return true
 	})
-	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, listOf(zone))
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, singleServerList(zone))
 	for _, query := range []string{"whole", "chunked", "chunked&old"} {
 		c := nettest.Dial(t, p.address)
-		text := large("POST", "assign", query, query, 15*time.Second)
+		text := largeRequestHead("POST", "assign", query, query, 15*time.Second)
 		if strings.Contains(query, "old") {
 			text = strings.Replace(text, "HTTP/1.1", "HTTP/1.0", 1)
 		}
@@ -306,7 +306,7 @@
 		if err != nil || a.Status != 200 {
 			t.Fatalf("%+v, %v", a, err)
 		}
-		if _, n, err := sum(b); err == nil {
+		if _, n, err := readChecksum(b); err == nil {
 			t.Errorf("%s: a body of %d bytes seems complete", query, n)
 		}
 	}
@@ -316,9 +316,9 @@
 }
 
 // A response of unknown length that takes long is passed on as it comes.
-func TestAnswerIsNotHeldBack(t *testing.T) {
+func TestStreamingResponseIsNotDelayed(t *testing.T) {
 	next := make(chan bool)
-	zone := largeZone(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
+	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 3 {
 			io.WriteString(c, "5\r\npiece\r\n")
@@ -327,9 +327,9 @@
 		io.WriteString(c, "0\r\n\r\n")
 		return true
 	})
-	p := start(t, nettest.NewDiscovery(t).Address, listOf(zone), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(zone), 200)
 	c := nettest.Dial(t, p.address)
-	io.WriteString(c, large("GET", "lookup", "1", "", 15*time.Second))
+	io.WriteString(c, largeRequestHead("GET", "lookup", "1", "", 15*time.Second))
 	_, b, err := http1.ReadResponseHead(c.In, "GET")
 	if err != nil {
 		t.Fatal(err)
@@ -347,9 +347,9 @@
 }
 
 // Clients' forms of HTTP/1.1, one after the other on one connection where it stays open.
-func TestFormsOfHTTP(t *testing.T) {
-	p := start(t, nettest.NewDiscovery(t).Address, listOf(largeZone(t, nil)), 200)
-	get := func(id string) string { return large("GET", "lookup", id, "size=3", 15*time.Second) }
+func TestHTTPRequestVariants(t *testing.T) {
+	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(startLargeBodyServer(t, nil)), 200)
+	get := func(id string) string { return largeRequestHead("GET", "lookup", id, "size=3", 15*time.Second) }
 	c := nettest.Dial(t, p.address)
 	check := func(what, method, want string) {
 		t.Helper()
@@ -370,7 +370,7 @@
 	check("absolute target", "GET", "0 ")
 	io.WriteString(c, strings.Replace(get("head"), "GET", "HEAD", 1))
 	check("HEAD", "HEAD", "0 ")
-	post := large("POST", "assign", "100", "size=3", 15*time.Second)
+	post := largeRequestHead("POST", "assign", "100", "size=3", 15*time.Second)
 	io.WriteString(c, strings.Replace(post, "\r\n\r\n",
 		"\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n", 1))
 	line := make([]byte, len("HTTP/1.1 100 Continue\r\n\r\n"))
@@ -382,7 +382,7 @@
 	io.WriteString(c, strings.Replace(strings.Replace(post, ": 100\r", ": chunks\r", 1), "\r\n\r\n",
 		"\r\nTransfer-Encoding: Chunked\r\n\r\n2;a=\"b\"\r\nbo\r\n02\r\ndy\r\n0\r\nT: u\r\n\r\n", 1))
 	check("chunks", "POST", "4 ")
-	old := large("GET", "lookup", "old", "chunked&size=3", 15*time.Second)
+	old := largeRequestHead("GET", "lookup", "old", "chunked&size=3", 15*time.Second)
 	io.WriteString(c, strings.Replace(old, "HTTP/1.1\r\nHost: backend.local", "HTTP/1.0", 1))
 	check("HTTP/1.0", "GET", "0 ")
 	if _, err := c.In.Peek(1); err != io.EOF {
--- a/cmd/cresshub/cli_test.go
+++ b/cmd/cresshub/cli_test.go
@@ -20,7 +20,7 @@
 )
 
 // own is a file of ours for servers that stand in it.
-func own(parties ...*nettest.ScriptedServer) string {
+func tomlConfig(parties ...*nettest.ScriptedServer) string {
 	var b strings.Builder
 	b.WriteString("[listen]\naddress = \"127.0.0.1:0\"\n[cold]\nstart = 1\n" +
 		"[[class]]\nname = \"lookup\"\naim = \"15s\"\ndeadline = \"15s\"\neffect = \"idempotent\"\n" +
@@ -40,21 +40,21 @@
 }
 
 // serveOwn starts the program with a file of ours and waits until it is ready.
-func serveOwn(t *testing.T, text string, args ...string) *process {
+func startWithTOML(t *testing.T, text string, args ...string) *process {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "cresshub.toml")
 	writeFile(t, file, text)
-	p := run(t, file, append([]string{"serve", "-c", file}, args...))
-	line := p.expect(t, "msg=ready")
+	p := startWithArgs(t, file, append([]string{"serve", "-c", file}, args...))
+	line := p.waitForLog(t, "msg=ready")
 	_, p.address, _ = strings.Cut(line, "listen=")
 	return p
 }
 
 // call runs one command to its end.
-func call(t *testing.T, args ...string) (stdout, stderr string, code int) {
+func runCommand(t *testing.T, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	var out, errs bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &errs
 	cmd.Run()
@@ -63,7 +63,7 @@
 
 func TestExitCodesAndMessages(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.toml")
-	writeFile(t, file, own()+"[log]\nlevl = \"info\"\nrepeat = \"x\"\n[[server]]\nname = \"a\"\n"+
+	writeFile(t, file, tomlConfig()+"[log]\nlevl = \"info\"\nrepeat = \"x\"\n[[server]]\nname = \"a\"\n"+
 		"address = \"127.0.0.1:1\"\n")
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	defer taken.Close()
 	good := filepath.Join(t.TempDir(), "good.toml")
-	if _, stderr, code := call(t, "config", "init", good); code != 0 {
+	if _, stderr, code := runCommand(t, "config", "init", good); code != 0 {
 		t.Fatal(stderr)
 	}
 	for _, c := range []struct {
@@ -103,7 +103,7 @@
 		{"completion tcsh", 2, 0, "", "invalid argument"},
 		{"serve --help", 0, -1, "cresshub serve -c cresshub.toml --set log.requests=true", ""},
 	} {
-		stdout, stderr, code := call(t, strings.Fields(c.args)...)
+		stdout, stderr, code := runCommand(t, strings.Fields(c.args)...)
 		if code != c.code || c.lines >= 0 && strings.Count(stdout, "\n") != c.lines ||
 			!strings.Contains(stdout, c.stdout) || !strings.Contains(stderr, c.stderr) ||
 			c.stderr == "" && stderr != "" {
@@ -112,11 +112,11 @@
 	}
 }
 
-func TestShowTellsSources(t *testing.T) {
+func TestConfigShowReportsSources(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.toml")
-	writeFile(t, file, strings.Replace(own(), "[listen]", "[discovery]\naddress = \"127.0.0.1:1\"\n[listen]", 1))
+	writeFile(t, file, strings.Replace(tomlConfig(), "[listen]", "[discovery]\naddress = \"127.0.0.1:1\"\n[listen]", 1))
 	t.Setenv("EDGE_NAME", "n7")
-	stdout, stderr, _ := call(t, "config", "show", "--json", "-c", file, "--set", "clients.idle=1500ms")
+	stdout, stderr, _ := runCommand(t, "config", "show", "--json", "-c", file, "--set", "clients.idle=1500ms")
 	var rows []struct {
 		Key, Source, At string
 		Value           any
@@ -142,29 +142,29 @@
 // Reloads with requests in flight: a bad file and one that needs a restart change nothing, live keys and
 // servers are taken over, ten in a row and one that crosses the end do no harm, and whatever was in flight
 // is answered.
-func TestReloadInFlight(t *testing.T) {
+func TestReloadWithRequestsInFlight(t *testing.T) {
 	release := make(chan bool)
 	slow := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response {
 		<-release
 		return nettest.OK("slow")
 	}))
 	quick := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("quick") }))
-	p := serveOwn(t, own(slow))
+	p := startWithTOML(t, tomlConfig(slow))
 	c := nettest.Dial(t, p.address)
 	io.WriteString(c, nettest.Request("POST", "assign", "id", 15*time.Second))
 	nettest.Until(t, "the attempt arrives", func() bool { return len(slow.Received("/api")) == 1 })
 	reload := func(text, expect string) {
 		t.Helper()
-		writeFile(t, p.config, text)
+		writeFile(t, p.configFile, text)
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		if line := p.expect(t, `msg="config: `); !strings.Contains(line, expect) {
+		if line := p.waitForLog(t, `msg="config: `); !strings.Contains(line, expect) {
 			t.Errorf("%s, want %s", line, expect)
 		}
 	}
 	reload("[", "cresshub.toml:1: ")
-	reload(strings.Replace(own(quick), "15s", "14s", 1),
+	reload(strings.Replace(tomlConfig(quick), "15s", "14s", 1),
 		"a change needs a restart\" name=cresshub keys=class[1].aim")
-	reload("operator = \"127.0.0.1:9\"\n"+own(quick), "a change needs a restart\" name=cresshub keys=operator")
+	reload("operator = \"127.0.0.1:9\"\n"+tomlConfig(quick), "a change needs a restart\" name=cresshub keys=operator")
 	ask := func(id string, wait time.Duration) *http1.Response {
 		t.Helper()
 		return nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request("GET", "lookup", id, wait))
@@ -172,7 +172,7 @@
 	if a := ask("no", 200*time.Millisecond); a.Status == 200 {
 		t.Error("the server of a file that was refused answers")
 	}
-	reload(own(quick)+"[log]\nrequests = true\n", "config: reloaded")
+	reload(tomlConfig(quick)+"[log]\nrequests = true\n", "config: reloaded")
 	tries := 0
 	nettest.Until(t, "the new list is in force", func() bool { // it is taken in beside the reload
 		tries++
@@ -182,7 +182,7 @@
 		t.Errorf("%d %q after the reload", a.Status, a.Body)
 	}
 	want := "request=q class=lookup tenant=acme server=s-0 attempt=1 outcome=served status=200"
-	if line := p.expect(t, "request=q"); !strings.Contains(line, want) {
+	if line := p.waitForLog(t, "request=q"); !strings.Contains(line, want) {
 		t.Error(line)
 	}
 	for range 10 {
@@ -190,12 +190,12 @@
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.expect(t, `msg="proxy: shutting down"`)
+	p.waitForLog(t, `msg="proxy: shutting down"`)
 	close(release)
 	if a, err := http1.ReadResponse(c.In); err != nil || string(a.Body) != "slow" {
 		t.Errorf("what was in flight: %+v, %v", a, err)
 	}
-	p.expect(t, "msg=counters")
+	p.waitForLog(t, "msg=counters")
 	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -203,10 +203,10 @@
 
 // Nobody reads the log, and it is more than the pipe and the backlog hold: requests go on, and so does the
 // end.
-func TestStalledLogKeepsNobodyWaiting(t *testing.T) {
+func TestUnreadLogDoesNotBlock(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
-	text := strings.ReplaceAll(own(x), "15s", "1h") // so that no delay is a queue worth a refusal
-	p := serveOwn(t, text+"[log]\nrequests = true\nrequest_rate = 0.0\nbacklog = \"4KiB\"\n")
+	text := strings.ReplaceAll(tomlConfig(x), "15s", "1h") // so that no delay is a queue worth a refusal
+	p := startWithTOML(t, text+"[log]\nrequests = true\nrequest_rate = 0.0\nbacklog = \"4KiB\"\n")
 	c := nettest.Dial(t, p.address)
 	for i := range 1000 { // about 170 bytes a line, and a pipe holds 64 KiB
 		c.SetDeadline(time.Now().Add(nettest.Patience))
@@ -241,7 +241,7 @@
 
 // heldUp reports whether this machine stalled a trial: its load, which waits for nothing, was late, or the
 // stall lasted until the load's end, or this process was stalled too. How long the proxy took is no excuse.
-func (r *trialReport) heldUp(stall time.Duration) bool {
+func (r *trialReport) machineStalled(stall time.Duration) bool {
 	const (
 		maxStall   = 250 * time.Millisecond
 		minOffered = 0.8 // of what its rate comes to
@@ -251,7 +251,7 @@
 }
 
 // watchStalls returns what ends the watch and tells the longest time in which this process was not run.
-func watchStalls() (end func() time.Duration) {
+func measureStalls() (end func() time.Duration) {
 	const interval = 10 * time.Millisecond
 	stop, longest := make(chan struct{}), make(chan time.Duration)
 	go func() {
@@ -272,9 +272,9 @@
 }
 
 // tryOnce runs a trial of three seconds.
-func tryOnce(t *testing.T, trouble string) (r trialReport, code int, output string) {
+func runTrial(t *testing.T, trouble string) (r trialReport, code int, output string) {
 	t.Helper()
-	stdout, stderr, code := call(t, "try", "--for", "3s", "--servers", "5", "--load", "0.3", "--json",
+	stdout, stderr, code := runCommand(t, "try", "--for", "3s", "--servers", "5", "--load", "0.3", "--json",
 		"--trouble", trouble)
 	if err := json.Unmarshal([]byte(stdout), &r); err != nil {
 		t.Fatalf("status %d: %v\n%s%s", code, err, stdout, stderr)
@@ -290,8 +290,8 @@
 		t.Run(trouble, func(t *testing.T) {
 			t.Parallel()
 			for trial := 1; ; trial++ {
-				end := watchStalls()
-				r, code, output := tryOnce(t, trouble)
+				end := measureStalls()
+				r, code, output := runTrial(t, trouble)
 				stall := end()
 				attempts := 0
 				for _, s := range r.Servers {
@@ -305,7 +305,7 @@
 				if code == 0 && r.Offered >= 10 && r.Served >= r.Offered/2 {
 					return
 				}
-				if !r.heldUp(stall) || trial == maxTrials {
+				if !r.machineStalled(stall) || trial == maxTrials {
 					t.Fatalf("status %d, stalled for %v, the load was late by %.0f ms\n%s", code, stall, r.LoadLag,
 						output)
 				}
@@ -319,8 +319,8 @@
 func TestTryInterrupted(t *testing.T) {
 	log := filepath.Join(t.TempDir(), "log")
 	cmd := exec.Command(os.Args[0], "try", "--for", "10m", "--servers", "2", "--log", log,
-		"--set", "listen.address="+ownHost+":0")
-	cmd.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+t.TempDir())
+		"--set", "listen.address="+reservedHost+":0")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+t.TempDir())
 	out, err := cmd.StdoutPipe()
 	if err == nil {
 		err = cmd.Start()
--- a/cmd/cresshub/fleet_test.go
+++ b/cmd/cresshub/fleet_test.go
@@ -42,7 +42,7 @@
 
 // fleetOf starts n members with settings, each joining by the first, and waits until every view holds all n
 // alive.
-func fleetOf(t *testing.T, n int, keys string) []*member {
+func startFleet(t *testing.T, n int, keys string) []*member {
 	t.Helper()
 	discovery := nettest.NewDiscovery(t).Address
 	var all []*member
@@ -53,23 +53,23 @@
 		}
 		all = append(all, startMember(t, fmt.Sprintf("m-%d", i), discovery, seeds+keys))
 	}
-	settled(t, all, func(p gossip.Page) bool { return alive(p) == n })
+	waitForViews(t, all, func(p gossip.Page) bool { return countAlive(p) == n })
 	return all
 }
 
 func startMember(t *testing.T, name, discovery, keys string) *member {
 	t.Helper()
-	file := memberFile(t, name, discovery, keys)
-	m := &member{process: run(t, file, []string{"serve", "--config", file}), name: name}
-	_, m.gossip, _ = strings.Cut(m.expect(t, "fleet: listening"), "gossip=")
+	file := writeMemberConfig(t, name, discovery, keys)
+	m := &member{process: startWithArgs(t, file, []string{"serve", "--config", file}), name: name}
+	_, m.gossip, _ = strings.Cut(m.waitForLog(t, "fleet: listening"), "gossip=")
 	m.gossip, _, _ = strings.Cut(m.gossip, " ")
-	_, line, _ := strings.Cut(m.expect(t, "msg=ready"), "listen=")
+	_, line, _ := strings.Cut(m.waitForLog(t, "msg=ready"), "listen=")
 	m.address, m.adminAddress, _ = strings.Cut(line, " operator=")
 	return m
 }
 
 // memberFile writes the configuration of a member with keys of its fleet.
-func memberFile(t *testing.T, name, discovery, keys string) string {
+func writeMemberConfig(t *testing.T, name, discovery, keys string) string {
 	t.Helper()
 	text := fmt.Sprintf("name = %q\noperator = \"127.0.0.1:0\"\n[listen]\naddress = \"127.0.0.1:0\"\n"+
 		"[discovery]\naddress = %q\n[[class]]\nname = \"lookup\"\naim = \"600ms\"\ndeadline = \"1s\"\n"+
@@ -82,7 +82,7 @@
 }
 
 // view asks a member's admin API for its view; ok is false where it does not respond.
-func (m *member) view() (gossip.Page, bool) {
+func (m *member) fleetView() (gossip.Page, bool) {
 	var p gossip.Page
 	c := http.Client{Timeout: nettest.Patience}
 	a, err := c.Get("http://" + m.adminAddress + "/_fleet")
@@ -93,7 +93,7 @@
 	return p, a.StatusCode == 200 && json.NewDecoder(a.Body).Decode(&p) == nil
 }
 
-func alive(p gossip.Page) int {
+func countAlive(p gossip.Page) int {
 	n := 0
 	for _, m := range p.Members {
 		if m.Status == "alive" {
@@ -103,7 +103,7 @@
 	return n
 }
 
-func status(p gossip.Page, name string) (gossip.Member, bool) {
+func findMember(p gossip.Page, name string) (gossip.Member, bool) {
 	i := slices.IndexFunc(p.Members, func(m gossip.Member) bool { return m.Name == name })
 	if i < 0 {
 		return gossip.Member{}, false
@@ -112,13 +112,13 @@
 }
 
 // settled waits until holds is true of every member's view, polling every 20 ms, and says how long it took.
-func settled(t *testing.T, of []*member, holds func(gossip.Page) bool) time.Duration {
+func waitForViews(t *testing.T, of []*member, holds func(gossip.Page) bool) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for {
 		all := true
 		for _, m := range of {
-			if p, ok := m.view(); !ok || !holds(p) {
+			if p, ok := m.fleetView(); !ok || !holds(p) {
 				all = false
 				break
 			}
@@ -128,7 +128,7 @@
 		}
 		if time.Since(start) > nettest.Patience {
 			for _, m := range of {
-				p, _ := m.view()
+				p, _ := m.fleetView()
 				t.Logf("%s sees %+v", m.name, p.Members)
 			}
 			t.Fatalf("the views did not settle within %v", nettest.Patience)
@@ -139,17 +139,17 @@
 
 // A member killed with SIGKILL is dead in every live view. How soon depends on this machine too: the model's
 // worst time is checked in package proxysim.
-func TestFleetSeesKill(t *testing.T) {
+func TestFleetDetectsKilledMember(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts seven processes")
 	}
-	all := fleetOf(t, 7, quickProbes)
+	all := startFleet(t, 7, quickProbes)
 	killed, rest := all[3], slices.Delete(slices.Clone(all), 3, 4)
 	if err := killed.cmd.Process.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	took := settled(t, rest, func(p gossip.Page) bool {
-		m, ok := status(p, killed.name)
+	took := waitForViews(t, rest, func(p gossip.Page) bool {
+		m, ok := findMember(p, killed.name)
 		return ok && m.Status == "dead"
 	})
 	t.Logf("a killed member was dead in %d views after %v", len(rest), took)
@@ -157,22 +157,22 @@
 
 // A member that ends by SIGTERM says so: it is left in every view before any probe could miss it, with no
 // suspicion on the way.
-func TestFleetSeesLeave(t *testing.T) {
+func TestFleetPropagatesLeave(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts seven processes")
 	}
-	all := fleetOf(t, 7, slowProbes)
+	all := startFleet(t, 7, slowProbes)
 	leaving, others := all[0], all[1:]
 	if err := leaving.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	took := settled(t, others, func(p gossip.Page) bool {
-		m, ok := status(p, leaving.name)
+	took := waitForViews(t, others, func(p gossip.Page) bool {
+		m, ok := findMember(p, leaving.name)
 		return ok && m.Status == "left"
 	})
 	for _, o := range others {
-		p, _ := o.view()
-		if m, _ := status(p, leaving.name); m.Flaps != 1 || m.Suspected != 0 {
+		p, _ := o.fleetView()
+		if m, _ := findMember(p, leaving.name); m.Flaps != 1 || m.Suspected != 0 {
 			t.Errorf("%s saw %s on its way out as %+v; one change and no suspicion are wanted", o.name,
 				leaving.name, m)
 		}
@@ -184,20 +184,20 @@
 }
 
 // A second process under a name that a live member holds is refused at its start, plainly.
-func TestFleetRefusesATakenName(t *testing.T) {
+func TestFleetRejectsDuplicateName(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	all := fleetOf(t, 2, slowProbes)
-	file := memberFile(t, "m-1", nettest.NewDiscovery(t).Address,
+	all := startFleet(t, 2, slowProbes)
+	file := writeMemberConfig(t, "m-1", nettest.NewDiscovery(t).Address,
 		fmt.Sprintf("seeds = [%q]\n", all[0].gossip)+slowProbes)
-	twin := run(t, file, []string{"serve", "--config", file})
-	line := twin.expect(t, "is held by a live member")
+	twin := startWithArgs(t, file, []string{"serve", "--config", file})
+	line := twin.waitForLog(t, "is held by a live member")
 	if err := twin.cmd.Wait(); err == nil {
 		t.Errorf("the twin started: %s", line)
 	}
-	p, _ := all[0].view()
-	if m, _ := status(p, "m-1"); m.Address != all[1].gossip || m.Status != "alive" {
+	p, _ := all[0].fleetView()
+	if m, _ := findMember(p, "m-1"); m.Address != all[1].gossip || m.Status != "alive" {
 		t.Errorf("the member held is %+v, not the first m-1 at %s", m, all[1].gossip)
 	}
 }
--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -22,11 +22,11 @@
 )
 
 // asProgram is the variable that has the test binary be the program.
-const asProgram = "BE_THE_PROGRAM"
+const runAsProgramEnv = "BE_THE_PROGRAM"
 
 // The test binary is also the program, so that tests speak to a process of its own.
 func TestMain(m *testing.M) {
-	if os.Getenv("EDGE_CONFIG") != "" || os.Getenv(asProgram) != "" {
+	if os.Getenv("EDGE_CONFIG") != "" || os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
@@ -35,7 +35,7 @@
 
 // settings are those of the platform's file. The aim is long, because what a stall of this machine delays
 // counts as a queue, and requests are refused where a queue takes up too much of the aim.
-const settings = `{"azs":["kita"],"kinds":["m2"],"balancers":2,"tick-ms":5,"registry-mode":"on_request",
+const platformSettings = `{"azs":["kita"],"kinds":["m2"],"balancers":2,"tick-ms":5,"registry-mode":"on_request",
 "grades":[{"name":"lookup","aim-ms":15000,"deadline-ms":15000,"effect":"idempotent","value":2},
 {"name":"assign","aim-ms":15000,"deadline-ms":15000,"effect":"at_most_once","value":8}],
 "tenants":[{"name":"acme","portion":1,"quota-per-s":100}],
@@ -45,85 +45,85 @@
 "report":{"fields":["active","waiting","cpu"],"source":"probe"}}`
 
 type process struct {
-	cmd     *exec.Cmd
-	config  string // path of its file
-	address string
-	log     *bufio.Scanner
-	pipe    io.Closer // that the log comes through
+	cmd        *exec.Cmd
+	configFile string // path
+	address    string // where the proxy listens for clients
+	logLines   *bufio.Scanner
+	logPipe    io.Closer // read end of the pipe that the process logs to
 }
 
 // start runs the program with a configuration and waits until it is ready.
 func start(t *testing.T, discovery, known string, sockets int) *process {
 	t.Helper()
-	return startWith(t, configuration(discovery, known, sockets))
+	return startWithConfig(t, platformConfig(discovery, known, sockets))
 }
 
 // startWith is start with the text of a configuration file of the platform, and with variables.
-func startWith(t *testing.T, config string, env ...string) *process {
+func startWithConfig(t *testing.T, config string, env ...string) *process {
 	t.Helper()
-	p := launch(t, config, env...)
-	line := p.expect(t, "msg=ready")
+	p := startWithoutWaiting(t, config, env...)
+	line := p.waitForLog(t, "msg=ready")
 	_, p.address, _ = strings.Cut(line, "listen=")
 	return p
 }
 
 // configuration is a file of the platform with the settings of these tests; known is the list of servers.
-func configuration(discovery, known string, sockets int) string {
+func platformConfig(discovery, known string, sockets int) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",`+
 		`"limits":{"cores":1,"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`,
-		discovery, sockets, known, settings)
+		discovery, sockets, known, platformSettings)
 }
 
 // quickToGiveUp is a configuration whose attempts time out after 4.5 s.
-func quickToGiveUp(config string) string {
+func withShortDeadline(config string) string {
 	return strings.ReplaceAll(config, `"aim-ms":15000`, `"aim-ms":4000`)
 }
 
 // neverQueued is a configuration in which a delay of seconds is no queue worth a refusal.
-func neverQueued(config string) string {
+func withLongDeadline(config string) string {
 	return strings.ReplaceAll(config, `"aim-ms":15000,"deadline-ms":15000`,
 		`"aim-ms":3600000,"deadline-ms":3600000`)
 }
 
 // launch is startWith that does not wait.
-func launch(t *testing.T, config string, env ...string) *process {
+func startWithoutWaiting(t *testing.T, config string, env ...string) *process {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return run(t, file, nil, append(env, "EDGE_CONFIG="+file)...)
+	return startWithArgs(t, file, nil, append(env, "EDGE_CONFIG="+file)...)
 }
 
 // patientTimes are the program's time-outs that a stall of either process could reach. By default they are
 // fractions of a second up to seconds: a probe that times out after 50 ms ejects the only server of a test.
-var patientTimes = []string{
+var longTimeouts = []string{
 	"CRESSHUB_UPSTREAM_DIAL=20s", "CRESSHUB_UPSTREAM_PROBE=20s",
 	"CRESSHUB_CLIENTS_FIRST_REQUEST=1m", "CRESSHUB_CLIENTS_REQUEST=1m", "CRESSHUB_CLIENTS_STALL=1m",
 	"CRESSHUB_CLIENTS_IDLE=1m", "CRESSHUB_CLIENTS_WRITE=1m", "CRESSHUB_HANDOVER_WAIT=20s",
 }
 
 // quickClientTimes are the defaults of the time-outs of clients that send no request, or only a part of one.
-var quickClientTimes = []string{
+var defaultClientTimeouts = []string{
 	"CRESSHUB_CLIENTS_FIRST_REQUEST=2s", "CRESSHUB_CLIENTS_REQUEST=3s", "CRESSHUB_CLIENTS_STALL=3s",
 }
 
 // ownHost is a loopback address that only these tests use, for ports that are closed and opened again: no
 // other process gets such a port meanwhile.
-const ownHost = "127.0.0.2"
+const reservedHost = "127.0.0.2"
 
 // run starts the program with arguments, patientTimes and variables, which have precedence over these; its
 // log can be read by expect.
-func run(tb testing.TB, file string, args []string, env ...string) *process {
+func startWithArgs(tb testing.TB, file string, args []string, env ...string) *process {
 	tb.Helper()
-	return spawn(tb, exec.Command(os.Args[0], args...), file, append(slices.Clone(patientTimes), env...)...)
+	return startCommand(tb, exec.Command(os.Args[0], args...), file, append(slices.Clone(longTimeouts), env...)...)
 }
 
 // spawn starts a command that is the program. file is the path of its configuration.
-func spawn(tb testing.TB, cmd *exec.Cmd, file string, env ...string) *process {
+func startCommand(tb testing.TB, cmd *exec.Cmd, file string, env ...string) *process {
 	tb.Helper()
-	p := &process{cmd: cmd, config: file}
-	p.cmd.Env = append(append(os.Environ(), asProgram+"=1"), env...)
+	p := &process{cmd: cmd, configFile: file}
+	p.cmd.Env = append(append(os.Environ(), runAsProgramEnv+"=1"), env...)
 	out, err := p.cmd.StderrPipe()
 	if err == nil {
 		err = p.cmd.Start()
@@ -131,7 +131,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	p.log, p.pipe = bufio.NewScanner(out), out
+	p.logLines, p.logPipe = bufio.NewScanner(out), out
 	tb.Cleanup(func() {
 		p.cmd.Process.Kill()
 		p.cmd.Wait()
@@ -140,11 +140,11 @@
 }
 
 // expect reads the log up to a line that contains text, and returns the line.
-func (p *process) expect(tb testing.TB, text string) string {
+func (p *process) waitForLog(tb testing.TB, text string) string {
 	tb.Helper()
-	for p.log.Scan() {
-		if strings.Contains(p.log.Text(), text) {
-			return p.log.Text()
+	for p.logLines.Scan() {
+		if strings.Contains(p.logLines.Text(), text) {
+			return p.logLines.Text()
 		}
 	}
 	tb.Fatalf("the log ended without %q", text)
@@ -152,7 +152,7 @@
 }
 
 // known is a full list of servers, named s-0, s-1 and so on, which all have the same status.
-func known(status string, servers ...*nettest.ScriptedServer) string {
+func serverList(status string, servers ...*nettest.ScriptedServer) string {
 	list := map[string]string{}
 	for i, server := range servers {
 		list[fmt.Sprintf("s-%d", i)] = server.Address
@@ -160,11 +160,11 @@
 	return nettest.List(true, status, list)
 }
 
-func TestPassesRequestAndAnswerUnchanged(t *testing.T) {
+func TestForwardsRequestAndResponseUnchanged(t *testing.T) {
 	zone := nettest.Serve(t, nettest.Zone(func(q *http1.Request) *http1.Response {
 		return nettest.OK("for " + string(q.Body))
 	}))
-	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", zone), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", zone), 200)
 	c := nettest.Dial(t, p.address)
 	if a := nettest.Ask(t, c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); a.Status != 200 {
 		t.Fatalf("not ready: %d", a.Status)
@@ -188,7 +188,7 @@
 
 // Rules 1 and 2: each request gets one response before its client gives up, and one that must not run
 // twice is not sent again where it may have run.
-func TestAnswersAndRepeats(t *testing.T) {
+func TestResponsesAndRetries(t *testing.T) {
 	notRun := &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
 	for _, c := range []struct {
 		name, method, class string
@@ -215,8 +215,8 @@
 				}
 			})
 			x, y := nettest.Serve(t, work), nettest.Serve(t, work)
-			p := startWith(t, quickToGiveUp(configuration(nettest.NewDiscovery(t).Address,
-				known("in_service", x, y), 200)))
+			p := startWithConfig(t, withShortDeadline(platformConfig(nettest.NewDiscovery(t).Address,
+				serverList("in_service", x, y), 200)))
 			began := time.Now()
 			a := nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request(c.method, c.class, "id", 15*time.Second))
 			attempts := len(x.Received("/api")) + len(y.Received("/api"))
@@ -229,11 +229,11 @@
 }
 
 // Rule 3: no new request goes to a server once the proxy has received that it drains.
-func TestDrainIsObeyed(t *testing.T) {
+func TestNoNewRequestsToDrainingServer(t *testing.T) {
 	work := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
 	x, y := nettest.Serve(t, work), nettest.Serve(t, work)
 	list := nettest.NewDiscovery(t)
-	p := start(t, list.Address, known("in_service", x), 200)
+	p := start(t, list.Address, serverList("in_service", x), 200)
 	c := nettest.Dial(t, p.address)
 	nettest.Ask(t, c, nettest.Request("GET", "lookup", "id", 15*time.Second))
 	if len(x.Received("/api")) != 1 {
@@ -243,7 +243,7 @@
 	list.Send(t, nettest.List(false, "in_service", map[string]string{"s-1": y.Address}))
 	nettest.Until(t, "both changes are taken in", func() bool {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
-		return strings.Contains(p.expect(t, "msg=counters"), "lists.read=2")
+		return strings.Contains(p.waitForLog(t, "msg=counters"), "lists.read=2")
 	})
 	for i := range 20 {
 		a := nettest.Ask(t, c, nettest.Request("GET", "lookup", fmt.Sprint("id", i), 15*time.Second))
@@ -258,14 +258,14 @@
 
 // Where discovery pushes its list, a new process goes by that from its first request on, whatever the list
 // that it was started with. Without discovery it goes by the latter.
-func TestUnaskedListsBindFromTheStart(t *testing.T) {
+func TestPushedServerListAppliesFromFirstRequest(t *testing.T) {
 	work := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
 	x, y := nettest.Serve(t, work), nettest.Serve(t, work)
 	list := nettest.NewDiscovery(t)
-	text := strings.Replace(configuration(list.Address, known("in_service", x), 200), "on_request", "pushed", 1)
-	p := launch(t, text)
+	text := strings.Replace(platformConfig(list.Address, serverList("in_service", x), 200), "on_request", "pushed", 1)
+	p := startWithoutWaiting(t, text)
 	list.Send(t, nettest.List(true, "in_service", map[string]string{"s-1": y.Address}))
-	_, p.address, _ = strings.Cut(p.expect(t, "msg=ready"), "listen=")
+	_, p.address, _ = strings.Cut(p.waitForLog(t, "msg=ready"), "listen=")
 	c := nettest.Dial(t, p.address)
 	ask := func(id string) {
 		if a := nettest.Ask(t, c, nettest.Request("GET", "lookup", id, 15*time.Second)); a.Status != 200 {
@@ -277,32 +277,32 @@
 	list.Send(t, nettest.List(false, "terminating", map[string]string{"s-1": y.Address}))
 	nettest.Until(t, "all lists are taken in", func() bool {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
-		return strings.Contains(p.expect(t, "msg=counters"), "lists.read=3")
+		return strings.Contains(p.waitForLog(t, "msg=counters"), "lists.read=3")
 	})
 	ask("second")
 	if len(x.Received("/api")) != 1 || len(y.Received("/api")) != 1 {
 		t.Errorf("%d and %d attempts", len(x.Received("/api")), len(y.Received("/api")))
 	}
-	text = configuration("127.0.0.1:1", known("in_service", x), 200)
-	p = launch(t, strings.Replace(text, "on_request", "pushed", 1))
-	_, p.address, _ = strings.Cut(p.expect(t, "msg=ready"), "listen=")
+	text = platformConfig("127.0.0.1:1", serverList("in_service", x), 200)
+	p = startWithoutWaiting(t, strings.Replace(text, "on_request", "pushed", 1))
+	_, p.address, _ = strings.Cut(p.waitForLog(t, "msg=ready"), "listen=")
 	c = nettest.Dial(t, p.address)
 	ask("third")
 }
 
 // SIGTERM may come while a new process still waits for its first list: clients that have connected by then
 // get their responses.
-func TestTermBeforeTheFirstList(t *testing.T) {
+func TestSIGTERMBeforeFirstServerList(t *testing.T) {
 	asked := make(chan bool, 9)
 	silent := nettest.Serve(t, func(*http1.Request) *http1.Response { asked <- true; return nettest.NoResponse })
-	free, err := net.Listen("tcp", ownHost+":0")
+	free, err := net.Listen("tcp", reservedHost+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := free.Addr().String()
 	free.Close()
-	text := strings.Replace(configuration(silent.Address, "null", 200), "on_request", "pushed", 1)
-	p := launch(t, strings.Replace(text, "127.0.0.1:0", address, 1))
+	text := strings.Replace(platformConfig(silent.Address, "null", 200), "on_request", "pushed", 1)
+	p := startWithoutWaiting(t, strings.Replace(text, "127.0.0.1:0", address, 1))
 	<-asked
 	c := nettest.Dial(t, address)
 	io.WriteString(c, nettest.Request("GET", "lookup", "id", 15*time.Second))
@@ -310,15 +310,15 @@
 	if a, err := http1.ReadResponse(c.In); err != nil || a.Status != 503 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	p.expect(t, "requests.rejected=1")
+	p.waitForLog(t, "requests.rejected=1")
 	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestClientGoneEndsItsAttempt(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.NoResponse }))
-	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 200)
 	c := nettest.Dial(t, p.address)
 	io.WriteString(c, nettest.Request("GET", "lookup", "id", time.Hour))
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
@@ -330,27 +330,27 @@
 	}
 }
 
-func TestTermAnswersWhatIsOwed(t *testing.T) {
+func TestSIGTERMAnswersRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	release := make(chan bool)
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response {
 		<-release
 		return nettest.OK("late")
 	}))
-	p := startWith(t, configuration(nettest.NewDiscovery(t).Address, known("in_service", x), 200),
+	p := startWithConfig(t, platformConfig(nettest.NewDiscovery(t).Address, serverList("in_service", x), 200),
 		"CRESSHUB_SHUTDOWN_ACCEPT_FOR=4s", "CRESSHUB_SHUTDOWN_CLOSE_ALL_AFTER=5s")
 	c := nettest.Dial(t, p.address)
 	io.WriteString(c, nettest.Request("POST", "assign", "id", time.Minute))
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.expect(t, `msg="proxy: shutting down"`)
+	p.waitForLog(t, `msg="proxy: shutting down"`)
 	fresh := nettest.Ask(t, nettest.Dial(t, p.address), "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	close(release)
 	a, err := http1.ReadResponse(c.In)
 	if err != nil || a.Status != 200 || !a.Close || fresh.Status != 503 || !fresh.Close {
 		t.Errorf("owed: %+v, %v; a new connection: %+v", a, err, fresh)
 	}
-	p.expect(t, "received=1 requests.served=1")
+	p.waitForLog(t, "received=1 requests.served=1")
 	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -358,38 +358,38 @@
 
 // On SIGHUP the file is read again: one that can't be used changes nothing, and a new address of discovery is
 // used at once. SIGHUP may also come during the shutdown.
-func TestHupFollowsTheNewDiscovery(t *testing.T) {
+func TestSIGHUPSwitchesDiscoveryAddress(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	old, fresh := nettest.NewDiscovery(t), nettest.NewDiscovery(t)
-	p := start(t, old.Address, known("in_service", x), 200)
+	p := start(t, old.Address, serverList("in_service", x), 200)
 	replace := func(text, expect string) {
-		if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(p.configFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		p.expect(t, expect)
+		p.waitForLog(t, expect)
 	}
 	replace("{", "config: reload rejected")
 	old.Send(t, "")
-	replace(configuration(fresh.Address, "null", 200), "discovery: moved")
-	fresh.Send(t, known("in_service", x))
+	replace(platformConfig(fresh.Address, "null", 200), "discovery: moved")
+	fresh.Send(t, serverList("in_service", x))
 	a := nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request("GET", "lookup", "id", 15*time.Second))
 	if a.Status != 200 {
 		t.Errorf("status %d", a.Status)
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.expect(t, `msg="proxy: shutting down"`)
+	p.waitForLog(t, `msg="proxy: shutting down"`)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.expect(t, "msg=counters")
+	p.waitForLog(t, "msg=counters")
 	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
 // The process outlives the reader of its log, though a write to a pipe without a reader raises SIGPIPE.
-func TestOutlivesTheReaderOfItsLog(t *testing.T) {
-	p := start(t, "", known("ready"), 100)
-	if err := p.pipe.Close(); err != nil {
+func TestSurvivesClosedLogPipe(t *testing.T) {
+	p := start(t, "", serverList("ready"), 100)
+	if err := p.logPipe.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
@@ -402,12 +402,12 @@
 	}
 }
 
-func TestCountersOnRequest(t *testing.T) {
+func TestSIGUSR1LogsCounters(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
-	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 200)
 	nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request("GET", "lookup", "id", 15*time.Second))
 	p.cmd.Process.Signal(syscall.SIGUSR1)
-	line := p.expect(t, "msg=counters")
+	line := p.waitForLog(t, "msg=counters")
 	for _, want := range []string{"requests.served=1", "sent.served=1", "clients.accepted=1"} {
 		if !strings.Contains(line, want) {
 			t.Errorf("no %s in %s", want, line)
@@ -420,13 +420,13 @@
 func TestSocketBudget(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.NoResponse }))
 	// The budget is 16 connections, of clients and to servers together.
-	p := startWith(t, quickToGiveUp(configuration(nettest.NewDiscovery(t).Address, known("in_service", x), 40)))
+	p := startWithConfig(t, withShortDeadline(platformConfig(nettest.NewDiscovery(t).Address, serverList("in_service", x), 40)))
 	for range 30 { // these send nothing, and must not keep others from being served
 		nettest.Dial(t, p.address)
 	}
 	nettest.Until(t, "all are accepted", func() bool {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
-		return strings.Contains(p.expect(t, "msg=counters"), "accepted=30")
+		return strings.Contains(p.waitForLog(t, "msg=counters"), "accepted=30")
 	})
 	time.Sleep(100 * time.Millisecond) // longer than clients.silent_for
 	var all []*connbuffer.Conn
@@ -451,11 +451,11 @@
 
 // Clients that leave each connection open after one request do not exhaust the budget: beyond a quarter of it
 // the connections that have been idle longest are closed, well before clients.idle.
-func TestRestingClientsMakeRoom(t *testing.T) {
+func TestOldestIdleConnectionsAreClosed(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	// The budget is 16, and a quarter of it 4. With patientTimes a connection may rest for longer than the test
 	// waits.
-	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 40)
+	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 40)
 	first := nettest.Dial(t, p.address)
 	nettest.Ask(t, first, nettest.Request("GET", "lookup", "first", 15*time.Second))
 	ended := make(chan error, 1)
@@ -478,13 +478,13 @@
 
 // To a server a request with the id of an open one would be its duplicate: it is rejected, and the open one
 // goes on. The id stays in use while an attempt of the first request is under way.
-func TestIDInUse(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release := make(chan bool)
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response {
 		<-release
 		return nettest.OK("first")
 	}))
-	p := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 200)
 	c := nettest.Dial(t, p.address)
 	text := nettest.Request("POST", "assign", "id", 15*time.Second)
 	io.WriteString(c, text)
@@ -503,8 +503,8 @@
 }
 
 // A client that sends no request, or only a part of one, gets an error response or is closed.
-func TestSlowClientsAreEnded(t *testing.T) {
-	p := startWith(t, configuration(nettest.NewDiscovery(t).Address, "null", 200), quickClientTimes...)
+func TestSlowClientsTimeOut(t *testing.T) {
+	p := startWithConfig(t, platformConfig(nettest.NewDiscovery(t).Address, "null", 200), defaultClientTimeouts...)
 	for in, status := range map[string]int{
 		"": 0, "GET / HT": 408, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n": 408,
 	} {
@@ -520,8 +520,8 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
-	p := startWith(t, configuration(nettest.NewDiscovery(t).Address, "null", 200), quickClientTimes...)
+func TestInvalidRequests(t *testing.T) {
+	p := startWithConfig(t, platformConfig(nettest.NewDiscovery(t).Address, "null", 200), defaultClientTimeouts...)
 	good := nettest.Request("GET", "lookup", "id", time.Second)
 	for _, c := range []struct {
 		name, in string
@@ -557,11 +557,11 @@
 	}
 }
 
-func TestBadConfigEndsWithOneMessage(t *testing.T) {
-	p := launch(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":{"grades":7}}`)
-	line := p.expect(t, "cresshub: ")
-	if !strings.Contains(line, `"grades"`) || p.log.Scan() {
-		t.Errorf("%q, then %q", line, p.log.Text())
+func TestInvalidConfigExitsWithOneMessage(t *testing.T) {
+	p := startWithoutWaiting(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":{"grades":7}}`)
+	line := p.waitForLog(t, "cresshub: ")
+	if !strings.Contains(line, `"grades"`) || p.logLines.Scan() {
+		t.Errorf("%q, then %q", line, p.logLines.Text())
 	}
 	if err := p.cmd.Wait(); err == nil {
 		t.Error("exit 0")
--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -18,16 +18,16 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-const ready = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
+const readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
 // startWithAdmin starts the program with an admin API and with its clients' address at listen, waits until it
 // is ready, and returns the address of the admin API with it.
 func startWithAdmin(t *testing.T, listen, discovery, known string, env ...string) (p *process,
 	adminAddress string) {
 	t.Helper()
-	p = launch(t, neverQueued(strings.Replace(configuration(discovery, known, 200), `"listen":"127.0.0.1:0"`,
+	p = startWithoutWaiting(t, withLongDeadline(strings.Replace(platformConfig(discovery, known, 200), `"listen":"127.0.0.1:0"`,
 		`"operator":"127.0.0.1:0","listen":"`+listen+`"`, 1)), env...)
-	_, addresses, _ := strings.Cut(p.expect(t, "msg=ready"), "listen=")
+	_, addresses, _ := strings.Cut(p.waitForLog(t, "msg=ready"), "listen=")
 	p.address, adminAddress, _ = strings.Cut(addresses, " operator=")
 	return p, adminAddress
 }
@@ -50,10 +50,10 @@
 
 // The metrics agree with what client and server saw of requests that were served, rejected, failed, retried
 // and abandoned.
-func TestFiguresAreTrue(t *testing.T) {
+func TestMetricsMatchTraffic(t *testing.T) {
 	answers := make(chan *http1.Response, 16)
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return <-answers }))
-	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, known("in_service", x))
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, serverList("in_service", x))
 	vars := func() string { return string(callAdmin(t, adminAddress, "GET /_vars").Body) }
 	for _, line := range []string{"proxy.handled.lookup.passed:0|c", "proxy.handled.assign.bad_gateway:0|c",
 		"proxy.upstream_tries:0|c", "proxy.in_progress:0|g", "proxy.known_zone_servers:1|g",
@@ -104,17 +104,17 @@
 	answers := make(chan *http1.Response)
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return <-answers }))
 	// A connection that is opened during the drain stays open for long enough to send its request.
-	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, known("in_service", x),
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, serverList("in_service", x),
 		"CRESSHUB_SHUTDOWN_ACCEPT_FOR=3s", "CRESSHUB_SHUTDOWN_CLOSE_ALL_AFTER=4s",
 		"CRESSHUB_SHUTDOWN_CLOSE_HALF_AFTER=5s")
 	idle, busy := nettest.Dial(t, p.address), nettest.Dial(t, p.address)
-	nettest.Ask(t, idle, ready)
+	nettest.Ask(t, idle, readinessRequest)
 	io.WriteString(busy, nettest.Request("POST", "assign", "1", 15*time.Second))
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
 	if a := callAdmin(t, adminAddress, "POST /_lameduck/on"); a.Status != 200 {
 		t.Fatalf("status %d", a.Status)
 	}
-	if a := nettest.Ask(t, nettest.Dial(t, p.address), ready); a.Status != 503 {
+	if a := nettest.Ask(t, nettest.Dial(t, p.address), readinessRequest); a.Status != 503 {
 		t.Errorf("ready says %d", a.Status)
 	}
 	late := nettest.Dial(t, p.address)
@@ -141,12 +141,12 @@
 	}
 	callAdmin(t, adminAddress, "POST /_lameduck/off")
 	c := nettest.Dial(t, p.address)
-	if a := nettest.Ask(t, c, ready); a.Status != 200 || a.Close {
+	if a := nettest.Ask(t, c, readinessRequest); a.Status != 200 || a.Close {
 		t.Errorf("after the drain ready says %d, closes %v", a.Status, a.Close)
 	}
 	callAdmin(t, adminAddress, "POST /_lameduck/on")
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.expect(t, `msg="proxy: shutting down"`)
+	p.waitForLog(t, `msg="proxy: shutting down"`)
 	callAdmin(t, adminAddress, "POST /_lameduck/off") // does not undo the shutdown
 	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
@@ -158,12 +158,12 @@
 // On a busy machine some requests meet a delay, and the decisions may reject one in some thousands of
 // requests by chance: the process counts each of these, and there are few. A client that this machine stalls
 // for as long as a drain leaves idle connections open may find its own closed.
-func TestUpgradesLoseNoConnection(t *testing.T) {
+func TestHandoversLoseNoConnection(t *testing.T) {
 	const closedIdle = 400 * time.Millisecond // less than shutdown.close_idle_after
 	zone := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	list := nettest.NewDiscovery(t).Address
 	t.Setenv("TMPDIR", t.TempDir())
-	p, _ := startWithAdmin(t, "127.0.0.1:0", list, known("in_service", zone))
+	p, _ := startWithAdmin(t, "127.0.0.1:0", list, serverList("in_service", zone))
 	address, stop := p.address, make(chan struct{})
 	var served, refused atomic.Int64
 	var clients sync.WaitGroup
@@ -218,7 +218,7 @@
 	end := func() {
 		t.Helper()
 		p.cmd.Process.Signal(syscall.SIGTERM)
-		line := p.expect(t, "msg=counters")
+		line := p.waitForLog(t, "msg=counters")
 		if err := p.cmd.Wait(); err != nil {
 			t.Error(err)
 		}
@@ -231,8 +231,8 @@
 		counted += n
 	}
 	for range 4 {
-		next, adminAddress := startWithAdmin(t, address, list, known("in_service", zone))
-		p.expect(t, "handover: new process takes over")
+		next, adminAddress := startWithAdmin(t, address, list, serverList("in_service", zone))
+		p.waitForLog(t, "handover: new process takes over")
 		if a := callAdmin(t, adminAddress, "GET /_ready"); a.Status != 200 {
 			t.Errorf("the new one says %d", a.Status)
 		}
@@ -250,11 +250,11 @@
 // Requests are still served when the new process of a handover hangs, when it is killed before it is
 // ready, when the old one ends before the new one is ready, and when a new one finds the socket file of a
 // killed one.
-func TestUpgradesThatFail(t *testing.T) {
+func TestFailedHandovers(t *testing.T) {
 	zone := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	list := nettest.NewDiscovery(t).Address
 	t.Setenv("TMPDIR", t.TempDir())
-	first, adminAddress := startWithAdmin(t, ownHost+":0", list, known("in_service", zone))
+	first, adminAddress := startWithAdmin(t, reservedHost+":0", list, serverList("in_service", zone))
 	served := func(id string) {
 		t.Helper()
 		a := nettest.Ask(t, nettest.Dial(t, first.address), nettest.Request("GET", "lookup", id, 15*time.Second))
@@ -262,21 +262,21 @@
 			t.Errorf("%s: status %d", id, a.Status)
 		}
 	}
-	config := strings.Replace(configuration(list, "null", 200), `"listen":"127.0.0.1:0"`,
+	config := strings.Replace(platformConfig(list, "null", 200), `"listen":"127.0.0.1:0"`,
 		`"listen":"`+first.address+`"`, 1)
-	killed := launch(t, config) // which knows no server but from the old one
-	first.expect(t, "handover: new process takes over")
+	killed := startWithoutWaiting(t, config) // which knows no server but from the old one
+	first.waitForLog(t, "handover: new process takes over")
 	killed.cmd.Process.Signal(syscall.SIGSTOP)
 	served("beside a new one that hangs")
 	killed.cmd.Process.Kill()
-	first.expect(t, "handover: new process ended")
+	first.waitForLog(t, "handover: new process ended")
 	served("after a killed new one")
 
 	callAdmin(t, adminAddress, "POST /_lameduck/on") // a drain during the handover is that of the old one only
-	second := launch(t, config)
-	first.expect(t, "handover: new process takes over")
+	second := startWithoutWaiting(t, config)
+	first.waitForLog(t, "handover: new process takes over")
 	first.cmd.Process.Signal(syscall.SIGTERM)
-	second.expect(t, "msg=ready")
+	second.waitForLog(t, "msg=ready")
 	served("after the end of the old one")
 	if err := first.cmd.Wait(); err != nil {
 		t.Error(err)
@@ -284,7 +284,7 @@
 
 	second.cmd.Process.Kill()
 	second.cmd.Wait()
-	third := launch(t, strings.Replace(config, `"known":null`, `"known":`+known("in_service", zone), 1))
-	third.expect(t, "msg=ready")
+	third := startWithoutWaiting(t, strings.Replace(config, `"known":null`, `"known":`+serverList("in_service", zone), 1))
+	third.waitForLog(t, "msg=ready")
 	served("after a socket file that a killed process left")
 }
--- a/cmd/cresshub/settings_test.go
+++ b/cmd/cresshub/settings_test.go
@@ -13,8 +13,8 @@
 )
 
 // other is a configuration of another deployment: the names mean the opposite, and the limits differ.
-func other(discovery, known string) string {
-	text := configuration(discovery, known, 200)
+func otherDeploymentConfig(discovery, known string) string {
+	text := platformConfig(discovery, known, 200)
 	for _, change := range [][2]string{{`"effect":"idempotent"`, `"effect":"x"`},
 		{`"effect":"at_most_once"`, `"effect":"idempotent"`}, {`"effect":"x"`, `"effect":"at_most_once"`},
 		{`"max-attempts":3`, `"max-attempts":2`}, {`"name":"acme"`, `"name":"emca"`}, {`["kita"]`, `["minami"]`}} {
@@ -43,8 +43,8 @@
 		return fmt.Sprint(a.Status, " ", count()-before)
 	}
 	begin := func(text string) *process {
-		p := launch(t, text)
-		_, p.address, _ = strings.Cut(p.expect(t, "msg=ready"), "listen=")
+		p := startWithoutWaiting(t, text)
+		_, p.address, _ = strings.Cut(p.waitForLog(t, "msg=ready"), "listen=")
 		return p
 	}
 	var zones [2][]*nettest.ScriptedServer
@@ -54,9 +54,9 @@
 		}
 	}
 	at := func(text, address string) string { return strings.Replace(text, "127.0.0.1:0", address, 1) }
-	one := begin(at(configuration(nettest.NewDiscovery(t).Address, known("in_service", zones[0]...), 200),
-		ownHost+":0"))
-	two := begin(at(other(nettest.NewDiscovery(t).Address, known("in_service", zones[1]...)), ownHost+":0"))
+	one := begin(at(platformConfig(nettest.NewDiscovery(t).Address, serverList("in_service", zones[0]...), 200),
+		reservedHost+":0"))
+	two := begin(at(otherDeploymentConfig(nettest.NewDiscovery(t).Address, serverList("in_service", zones[1]...)), reservedHost+":0"))
 	for range 2 {
 		got := []string{
 			ask(one, zones[0], "GET", "lookup", "acme"), ask(two, zones[1], "GET", "lookup", "emca"),
@@ -72,8 +72,8 @@
 		two.cmd.Process.Kill()
 		two.cmd.Wait()
 		x, y := one.address, two.address
-		one = begin(at(configuration(nettest.NewDiscovery(t).Address, known("in_service", zones[0]...), 200), y))
-		two = begin(at(other(nettest.NewDiscovery(t).Address, known("in_service", zones[1]...)), x))
+		one = begin(at(platformConfig(nettest.NewDiscovery(t).Address, serverList("in_service", zones[0]...), 200), y))
+		two = begin(at(otherDeploymentConfig(nettest.NewDiscovery(t).Address, serverList("in_service", zones[1]...)), x))
 	}
 }
 
@@ -82,9 +82,9 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	work := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
 	x, y := nettest.Serve(t, work), nettest.Serve(t, work)
-	old := start(t, nettest.NewDiscovery(t).Address, known("in_service", x), 200)
-	next := other(nettest.NewDiscovery(t).Address, known("in_service", y))
-	launch(t, strings.Replace(next, "127.0.0.1:0", old.address, 1)).expect(t, "msg=ready")
+	old := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 200)
+	next := otherDeploymentConfig(nettest.NewDiscovery(t).Address, serverList("in_service", y))
+	startWithoutWaiting(t, strings.Replace(next, "127.0.0.1:0", old.address, 1)).waitForLog(t, "msg=ready")
 	old.cmd.Process.Kill()
 	old.cmd.Wait()
 	text := strings.Replace(nettest.Request("GET", "lookup", "id", 15*time.Second), "acme", "emca", 1)
