--- a/cmd/cresshub-fleet/main.go
+++ b/cmd/cresshub-fleet/main.go
@@ -1,5 +1,6 @@
-// Command cresshub-fleet runs and inspects the processes of a router fleet, and tries a small fleet on this
-// machine (try, soak). See package router/cli for the commands and package routertrial for trials.
+// Command cresshub-fleet runs and inspects the processes of a router fleet, and runs trials of a small fleet
+// on the local machine (try, soak). Package router/cli implements the commands and package routertrial the
+// trials.
 package main
 
 import (
--- a/cmd/cresshub-lab/main.go
+++ b/cmd/cresshub-lab/main.go
@@ -1,5 +1,5 @@
-// Command cresshub-lab tries designs on an emulated fleet, and plays faults between real processes of the
-// client proxy (rig). See package labcli for the commands and package clusterrig for the rig.
+// Command cresshub-lab evaluates designs on an emulated fleet, and injects faults between real processes of
+// the client proxy (rig). Package labcli implements the commands, package clusterrig the fault injection.
 package main
 
 import (
--- a/cmd/cresshub-simhost/main.go
+++ b/cmd/cresshub-simhost/main.go
@@ -1,7 +1,8 @@
-// Command cresshub-simhost hosts balancers for the simulator: batches of events on standard input, one a
-// line, and one reply a batch on standard output. The decisions are those of package balance and the format
-// of lines that of package simwire; this command only moves lines. It ends with 0 when the input ends between
-// two lines, otherwise with 1 and the problem on standard error.
+// Command cresshub-simhost hosts balancer instances for the simulator. It reads batches of events from
+// standard input, one batch per line, and writes one reply line per batch to standard output. Package balance
+// makes the decisions and package simwire defines the line format; this command only transfers the lines. It
+// exits with status 0 when the input ends between two lines, and otherwise with status 1 and an error message
+// on standard error.
 package main
 
 import (
@@ -16,11 +17,11 @@
 )
 
 const (
-	// gcPercent lets the collector run less often than by default: the instances are many, small and
-	// long-lived, and memory is plenty.
+	// gcPercent makes garbage collection rarer than by default: the balancer instances are many, small and
+	// long-lived, and there is enough memory.
 	gcPercent = 400
-	// readBuffer is the size of the input's buffer, in bytes; longer lines are copied together.
-	readBuffer = 1 << 20
+	// readBufferBytes is the size of the input buffer. Only longer lines are copied into a second buffer.
+	readBufferBytes = 1 << 20
 )
 
 func main() {
@@ -31,9 +32,10 @@
 	}
 }
 
-// serve answers each line of in with one line on out until the input ends between two lines.
+// serve writes one reply line to out for each line of in. It returns nil when the input ends between two
+// lines.
 func serve(in io.Reader, out io.Writer) error {
-	lines := &lineReader{in: bufio.NewReaderSize(in, readBuffer)}
+	lines := &lineReader{in: bufio.NewReaderSize(in, readBufferBytes)}
 	host := simwire.NewHost()
 	for {
 		line, err := lines.next()
@@ -53,24 +55,25 @@
 	}
 }
 
-// lineReader reads lines of any length. Unlike bufio.Scanner it has no limit, and it copies none but those
-// longer than the buffer.
+// lineReader reads lines of any length. Unlike bufio.Scanner it has no length limit, and it copies only
+// lines longer than the buffer.
 type lineReader struct {
-	in   *bufio.Reader
-	long []byte // the last line longer than the buffer
+	in       *bufio.Reader
+	longLine []byte // the last line longer than the buffer
 }
 
-// next returns a line, which is valid until the next call; with an error, what was read of it.
+// next returns the next line, which is valid until the following call. With an error, it returns the part of
+// the line that was read.
 func (r *lineReader) next() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return line, err
 	}
-	r.long = r.long[:0]
+	r.longLine = r.longLine[:0]
 	for errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long, line...)
+		r.longLine = append(r.longLine, line...)
 		line, err = r.in.ReadSlice('\n')
 	}
-	r.long = append(r.long, line...)
-	return r.long, err
+	r.longLine = append(r.longLine, line...)
+	return r.longLine, err
 }
--- a/cmd/cresshub-simhost/main_test.go
+++ b/cmd/cresshub-simhost/main_test.go
@@ -10,6 +10,7 @@
 	"testing"
 )
 
+// emptyBatch is a batch without events.
 const emptyBatch = `{"sim-time-ms":1,"n":1,"happened":[]}` + "\n"
 
 func TestServe(t *testing.T) {
@@ -30,8 +31,8 @@
 	}
 }
 
-// Lines shorter and longer than the buffer come whole and in order, and the rest without an end comes with
-// io.EOF.
+// TestLineReaderReturnsWholeLines checks that lines shorter and longer than the buffer are returned whole and
+// in order, and that a last line without a newline is returned together with io.EOF.
 func TestLineReaderReturnsWholeLines(t *testing.T) {
 	want := []string{"short\n", strings.Repeat("long", 20) + "\n", "\n", strings.Repeat("longer", 40) + "\n",
 		"rest"}
@@ -48,6 +49,6 @@
 		}
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("%q, not %q", got, want)
+		t.Errorf("lines %q, want %q", got, want)
 	}
 }
--- a/cmd/cresshub/main.go
+++ b/cmd/cresshub/main.go
@@ -1,4 +1,5 @@
-// Command cresshub is a client proxy with the tools to try, check and run it; see package cli.
+// Command cresshub is a client proxy, with subcommands to run it, check its configuration and run trials. See
+// package cli.
 package main
 
 import (
@@ -10,7 +11,7 @@
 func main() {
 	var signals <-chan os.Signal
 	if args := os.Args[1:]; len(args) == 0 || args[0] == "serve" {
-		signals = cli.Signals() // before anything else
+		signals = cli.Signals() // registered first: an unhandled signal ends the process
 	}
 	os.Exit(cli.Main(os.Args[1:], signals, os.Stdout, os.Stderr))
 }
--- a/cmd/cresshub/main_test.go
+++ b/cmd/cresshub/main_test.go
@@ -21,10 +21,11 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// asProgram is the variable that has the test binary be the program.
+// runAsProgramEnv is the environment variable that makes the test binary run as the program.
 const runAsProgramEnv = "BE_THE_PROGRAM"
 
-// The test binary is also the program, so that tests speak to a process of its own.
+// TestMain runs the program instead of the tests if the environment asks for it: the tests start their own
+// binary as the process under test.
 func TestMain(m *testing.M) {
 	if os.Getenv("EDGE_CONFIG") != "" || os.Getenv(runAsProgramEnv) != "" {
 		main()
@@ -33,9 +34,10 @@
 	os.Exit(m.Run())
 }
 
-// settings are those of the platform's file. The aim is long, because what a stall of this machine delays
-// counts as a queue, and requests are refused where a queue takes up too much of the aim.
-const platformSettings = `{"azs":["kita"],"kinds":["m2"],"balancers":2,"tick-ms":5,"registry-mode":"on_request",
+// settingsJSON is the settings object of the platform's configuration file. The latency target (aim-ms) is
+// long, because delays from a stall of the machine count as queueing, and the proxy rejects requests when
+// queueing takes up too much of the target.
+const settingsJSON = `{"azs":["kita"],"kinds":["m2"],"balancers":2,"tick-ms":5,"registry-mode":"on_request",
 "grades":[{"name":"lookup","aim-ms":15000,"deadline-ms":15000,"effect":"idempotent","value":2},
 {"name":"assign","aim-ms":15000,"deadline-ms":15000,"effect":"at_most_once","value":8}],
 "tenants":[{"name":"acme","portion":1,"quota-per-s":100}],
@@ -44,6 +46,7 @@
 "retry-after":true,"max-retry-after-ms":1000,"may-duplicate":true},
 "report":{"fields":["active","waiting","cpu"],"source":"probe"}}`
 
+// process is a running instance of the program.
 type process struct {
 	cmd        *exec.Cmd
 	configFile string // path
@@ -52,13 +55,14 @@
 	logPipe    io.Closer // read end of the pipe that the process logs to
 }
 
-// start runs the program with a configuration and waits until it is ready.
-func start(t *testing.T, discovery, known string, sockets int) *process {
+// start runs the program with platformConfig and waits until it is ready.
+func start(t *testing.T, discovery, servers string, sockets int) *process {
 	t.Helper()
-	return startWithConfig(t, platformConfig(discovery, known, sockets))
+	return startWithConfig(t, platformConfig(discovery, servers, sockets))
 }
 
-// startWith is start with the text of a configuration file of the platform, and with variables.
+// startWithConfig runs the program with the text of a platform configuration file and environment variables,
+// and waits until it is ready.
 func startWithConfig(t *testing.T, config string, env ...string) *process {
 	t.Helper()
 	p := startWithoutWaiting(t, config, env...)
@@ -67,25 +71,27 @@
 	return p
 }
 
-// configuration is a file of the platform with the settings of these tests; known is the list of servers.
-func platformConfig(discovery, known string, sockets int) string {
+// platformConfig returns a configuration file in the platform's format, with the settings of these tests.
+// servers is the initial list of servers in JSON.
+func platformConfig(discovery, servers string, sockets int) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",`+
 		`"limits":{"cores":1,"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`,
-		discovery, sockets, known, platformSettings)
+		discovery, sockets, servers, settingsJSON)
 }
 
-// quickToGiveUp is a configuration whose attempts time out after 4.5 s.
-func withShortDeadline(config string) string {
+// withShortLatencyTarget returns config with a latency target that makes attempts time out after 4.5 s.
+func withShortLatencyTarget(config string) string {
 	return strings.ReplaceAll(config, `"aim-ms":15000`, `"aim-ms":4000`)
 }
 
-// neverQueued is a configuration in which a delay of seconds is no queue worth a refusal.
+// withLongDeadline returns config with a latency target and a deadline of one hour, so that delays of seconds
+// do not make the proxy reject requests for queueing.
 func withLongDeadline(config string) string {
 	return strings.ReplaceAll(config, `"aim-ms":15000,"deadline-ms":15000`,
 		`"aim-ms":3600000,"deadline-ms":3600000`)
 }
 
-// launch is startWith that does not wait.
+// startWithoutWaiting is startWithConfig without the wait for readiness.
 func startWithoutWaiting(t *testing.T, config string, env ...string) *process {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -95,34 +101,37 @@
 	return startWithArgs(t, file, nil, append(env, "EDGE_CONFIG="+file)...)
 }
 
-// patientTimes are the program's time-outs that a stall of either process could reach. By default they are
-// fractions of a second up to seconds: a probe that times out after 50 ms ejects the only server of a test.
+// longTimeouts extends the program's timeouts that a stall of the test or of the program could exceed. By
+// default they are fractions of a second up to seconds: a probe that times out after 50 ms ejects the only
+// server of a test.
 var longTimeouts = []string{
 	"CRESSHUB_UPSTREAM_DIAL=20s", "CRESSHUB_UPSTREAM_PROBE=20s",
 	"CRESSHUB_CLIENTS_FIRST_REQUEST=1m", "CRESSHUB_CLIENTS_REQUEST=1m", "CRESSHUB_CLIENTS_STALL=1m",
 	"CRESSHUB_CLIENTS_IDLE=1m", "CRESSHUB_CLIENTS_WRITE=1m", "CRESSHUB_HANDOVER_WAIT=20s",
 }
 
-// quickClientTimes are the defaults of the time-outs of clients that send no request, or only a part of one.
+// defaultClientTimeouts restores the default timeouts for clients that send no request or only part of one.
 var defaultClientTimeouts = []string{
 	"CRESSHUB_CLIENTS_FIRST_REQUEST=2s", "CRESSHUB_CLIENTS_REQUEST=3s", "CRESSHUB_CLIENTS_STALL=3s",
 }
 
-// ownHost is a loopback address that only these tests use, for ports that are closed and opened again: no
-// other process gets such a port meanwhile.
+// reservedHost is a loopback address that only these tests use. They close and reopen ports on it, and no
+// other process can take such a port in between.
 const reservedHost = "127.0.0.2"
 
-// run starts the program with arguments, patientTimes and variables, which have precedence over these; its
-// log can be read by expect.
-func startWithArgs(tb testing.TB, file string, args []string, env ...string) *process {
+// startWithArgs starts the program with arguments, longTimeouts and environment variables; the variables take
+// precedence over longTimeouts. file is the path of its configuration. The log is read with waitForLog.
+func startWithArgs(tb testing.TB, configFile string, args []string, env ...string) *process {
 	tb.Helper()
-	return startCommand(tb, exec.Command(os.Args[0], args...), file, append(slices.Clone(longTimeouts), env...)...)
+	return startCommand(tb, exec.Command(os.Args[0], args...), configFile,
+		append(slices.Clone(longTimeouts), env...)...)
 }
 
-// spawn starts a command that is the program. file is the path of its configuration.
-func startCommand(tb testing.TB, cmd *exec.Cmd, file string, env ...string) *process {
+// startCommand starts cmd, which runs the program, and kills it at the end of the test. configFile is the
+// path of its configuration.
+func startCommand(tb testing.TB, cmd *exec.Cmd, configFile string, env ...string) *process {
 	tb.Helper()
-	p := &process{cmd: cmd, configFile: file}
+	p := &process{cmd: cmd, configFile: configFile}
 	p.cmd.Env = append(append(os.Environ(), runAsProgramEnv+"=1"), env...)
 	out, err := p.cmd.StderrPipe()
 	if err == nil {
@@ -139,7 +148,7 @@
 	return p
 }
 
-// expect reads the log up to a line that contains text, and returns the line.
+// waitForLog reads the log up to the next line that contains text, and returns that line.
 func (p *process) waitForLog(tb testing.TB, text string) string {
 	tb.Helper()
 	for p.logLines.Scan() {
@@ -147,11 +156,11 @@
 			return p.logLines.Text()
 		}
 	}
-	tb.Fatalf("the log ended without %q", text)
+	tb.Fatalf("the log ended without a line that contains %q", text)
 	return ""
 }
 
-// known is a full list of servers, named s-0, s-1 and so on, which all have the same status.
+// serverList returns a full list of servers, named s-0, s-1 and so on, all with the same status.
 func serverList(status string, servers ...*nettest.ScriptedServer) string {
 	list := map[string]string{}
 	for i, server := range servers {
@@ -161,44 +170,44 @@
 }
 
 func TestForwardsRequestAndResponseUnchanged(t *testing.T) {
-	zone := nettest.Serve(t, nettest.Zone(func(q *http1.Request) *http1.Response {
+	server := nettest.Serve(t, nettest.Zone(func(q *http1.Request) *http1.Response {
 		return nettest.OK("for " + string(q.Body))
 	}))
-	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", zone), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", server), 200)
 	c := nettest.Dial(t, p.address)
 	if a := nettest.Ask(t, c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); a.Status != 200 {
-		t.Fatalf("not ready: %d", a.Status)
+		t.Fatalf("readiness status %d, want 200", a.Status)
 	}
 	text := nettest.Request("POST", "assign", "id-1", 15*time.Second)
 	text = strings.Replace(text, "\r\n\r\n", "\r\nContent-Length: 5\r\n\r\nrider", 1)
 	a := nettest.Ask(t, c, text)
-	got := zone.Received("/api")
+	got := server.Received("/api")
 	if a.Status != 200 || string(a.Body) != "for rider" || len(got) != 1 {
-		t.Fatalf("answer %d %q after %d attempts", a.Status, a.Body, len(got))
+		t.Fatalf("response %d %q after %d attempts", a.Status, a.Body, len(got))
 	}
 	q := got[0]
-	passed := fmt.Sprint(q.Method, " ", q.Target, " ", q.Header.Get("X-Request-ID"), " ", string(q.Body))
-	if diff := cmp.Diff("POST /api?key=7f3a9c21e0b4d655 id-1 rider", passed); diff != "" {
+	forwarded := fmt.Sprint(q.Method, " ", q.Target, " ", q.Header.Get("X-Request-ID"), " ", string(q.Body))
+	if diff := cmp.Diff("POST /api?key=7f3a9c21e0b4d655 id-1 rider", forwarded); diff != "" {
 		t.Error(diff)
 	}
 	if q.Header.Get("X-Timeout") == "" {
-		t.Error("the server is not told how long we wait")
+		t.Error("the forwarded request has no X-Timeout header")
 	}
 }
 
-// Rules 1 and 2: each request gets one response before its client gives up, and one that must not run
-// twice is not sent again where it may have run.
+// TestResponsesAndRetries checks that each request gets one response before its client times out, and that a
+// request that must not run twice is not retried if it may have run (rules 1 and 2).
 func TestResponsesAndRetries(t *testing.T) {
 	notRun := &http1.Response{Status: 503, Header: http1.Header{{Name: "X-Not-Processed", Value: "1"}}}
 	for _, c := range []struct {
 		name, method, class string
-		first               *http1.Response // what the first attempt meets
+		first               *http1.Response // result of the first attempt; later ones succeed
 		status, attempts    int
 	}{
 		{"unsafe, may have run", "POST", "assign", nettest.CloseConn, 502, 1},
-		{"unsafe, silent", "POST", "assign", nettest.NoResponse, 504, 1},
+		{"unsafe, no response", "POST", "assign", nettest.NoResponse, 504, 1},
 		{"unsafe, error", "POST", "assign", &http1.Response{Status: 500}, 502, 1},
-		{"unsafe, 503 without a word on it", "POST", "assign", &http1.Response{Status: 503}, 502, 1},
+		{"unsafe, 503 without X-Not-Processed", "POST", "assign", &http1.Response{Status: 503}, 502, 1},
 		{"unsafe, never ran", "POST", "assign", notRun, 200, 2},
 		{"safe, may have run", "GET", "lookup", nettest.CloseConn, 200, 2},
 	} {
@@ -206,7 +215,7 @@
 			t.Parallel()
 			first := make(chan bool, 1)
 			first <- true
-			work := nettest.Zone(func(*http1.Request) *http1.Response {
+			handler := nettest.Zone(func(*http1.Request) *http1.Response {
 				select {
 				case <-first:
 					return c.first
@@ -214,8 +223,8 @@
 					return nettest.OK("done")
 				}
 			})
-			x, y := nettest.Serve(t, work), nettest.Serve(t, work)
-			p := startWithConfig(t, withShortDeadline(platformConfig(nettest.NewDiscovery(t).Address,
+			x, y := nettest.Serve(t, handler), nettest.Serve(t, handler)
+			p := startWithConfig(t, withShortLatencyTarget(platformConfig(nettest.NewDiscovery(t).Address,
 				serverList("in_service", x, y), 200)))
 			began := time.Now()
 			a := nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request(c.method, c.class, "id", 15*time.Second))
@@ -228,7 +237,8 @@
 	}
 }
 
-// Rule 3: no new request goes to a server once the proxy has received that it drains.
+// TestNoNewRequestsToDrainingServer checks that no new request goes to a server once the proxy has received
+// its terminating status (rule 3).
 func TestNoNewRequestsToDrainingServer(t *testing.T) {
 	work := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
 	x, y := nettest.Serve(t, work), nettest.Serve(t, work)
@@ -237,11 +247,11 @@
 	c := nettest.Dial(t, p.address)
 	nettest.Ask(t, c, nettest.Request("GET", "lookup", "id", 15*time.Second))
 	if len(x.Received("/api")) != 1 {
-		t.Fatal("the only server got nothing")
+		t.Fatal("the only server received no request")
 	}
 	list.Send(t, nettest.List(false, "terminating", map[string]string{"s-0": x.Address}))
 	list.Send(t, nettest.List(false, "in_service", map[string]string{"s-1": y.Address}))
-	nettest.Until(t, "both changes are taken in", func() bool {
+	nettest.Until(t, "both server lists are applied", func() bool {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
 		return strings.Contains(p.waitForLog(t, "msg=counters"), "lists.read=2")
 	})
@@ -252,36 +262,38 @@
 		}
 	}
 	if x, y := len(x.Received("/api")), len(y.Received("/api")); x != 1 || y != 20 {
-		t.Errorf("%d to the one that drains, %d to the other", x-1, y)
+		t.Errorf("%d new requests to the draining server, %d to the other one", x-1, y)
 	}
 }
 
-// Where discovery pushes its list, a new process goes by that from its first request on, whatever the list
-// that it was started with. Without discovery it goes by the latter.
+// TestPushedServerListAppliesFromFirstRequest checks that, where discovery pushes its list (registry-mode
+// "pushed"), a new process uses that list from its first request on instead of the list in its configuration.
+// If discovery cannot be reached, it uses the configured list.
 func TestPushedServerListAppliesFromFirstRequest(t *testing.T) {
 	work := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
 	x, y := nettest.Serve(t, work), nettest.Serve(t, work)
 	list := nettest.NewDiscovery(t)
-	text := strings.Replace(platformConfig(list.Address, serverList("in_service", x), 200), "on_request", "pushed", 1)
+	text := strings.Replace(platformConfig(list.Address, serverList("in_service", x), 200),
+		"on_request", "pushed", 1)
 	p := startWithoutWaiting(t, text)
 	list.Send(t, nettest.List(true, "in_service", map[string]string{"s-1": y.Address}))
 	_, p.address, _ = strings.Cut(p.waitForLog(t, "msg=ready"), "listen=")
 	c := nettest.Dial(t, p.address)
 	ask := func(id string) {
 		if a := nettest.Ask(t, c, nettest.Request("GET", "lookup", id, 15*time.Second)); a.Status != 200 {
-			t.Errorf("%s: %d", id, a.Status)
+			t.Errorf("request %q: status %d", id, a.Status)
 		}
 	}
 	ask("first")
 	list.Send(t, nettest.List(false, "in_service", map[string]string{"s-0": x.Address}))
 	list.Send(t, nettest.List(false, "terminating", map[string]string{"s-1": y.Address}))
-	nettest.Until(t, "all lists are taken in", func() bool {
+	nettest.Until(t, "all server lists are applied", func() bool {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
 		return strings.Contains(p.waitForLog(t, "msg=counters"), "lists.read=3")
 	})
 	ask("second")
 	if len(x.Received("/api")) != 1 || len(y.Received("/api")) != 1 {
-		t.Errorf("%d and %d attempts", len(x.Received("/api")), len(y.Received("/api")))
+		t.Errorf("%d and %d attempts, want one each", len(x.Received("/api")), len(y.Received("/api")))
 	}
 	text = platformConfig("127.0.0.1:1", serverList("in_service", x), 200)
 	p = startWithoutWaiting(t, strings.Replace(text, "on_request", "pushed", 1))
@@ -290,11 +302,14 @@
 	ask("third")
 }
 
-// SIGTERM may come while a new process still waits for its first list: clients that have connected by then
-// get their responses.
+// TestSIGTERMBeforeFirstServerList checks that clients that have connected get their responses if SIGTERM
+// arrives while a new process still waits for its first list of servers.
 func TestSIGTERMBeforeFirstServerList(t *testing.T) {
-	asked := make(chan bool, 9)
-	silent := nettest.Serve(t, func(*http1.Request) *http1.Response { asked <- true; return nettest.NoResponse })
+	polled := make(chan bool, 9)
+	silent := nettest.Serve(t, func(*http1.Request) *http1.Response {
+		polled <- true
+		return nettest.NoResponse
+	})
 	free, err := net.Listen("tcp", reservedHost+":0")
 	if err != nil {
 		t.Fatal(err)
@@ -303,7 +318,7 @@
 	free.Close()
 	text := strings.Replace(platformConfig(silent.Address, "null", 200), "on_request", "pushed", 1)
 	p := startWithoutWaiting(t, strings.Replace(text, "127.0.0.1:0", address, 1))
-	<-asked
+	<-polled
 	c := nettest.Dial(t, address)
 	io.WriteString(c, nettest.Request("GET", "lookup", "id", 15*time.Second))
 	p.cmd.Process.Signal(syscall.SIGTERM)
@@ -316,6 +331,8 @@
 	}
 }
 
+// TestClientDisconnectCancelsAttempt checks that the proxy closes the connection to the server when the
+// client disconnects before the response.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.NoResponse }))
 	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 200)
@@ -326,10 +343,12 @@
 	select {
 	case <-x.Abandoned:
 	case <-time.After(nettest.Patience):
-		t.Error("the attempt's connection stayed open")
+		t.Error("the connection to the server stayed open")
 	}
 }
 
+// TestSIGTERMAnswersRequestsInFlight checks that a request in flight still gets its response after SIGTERM,
+// and that a new connection gets 503 meanwhile.
 func TestSIGTERMAnswersRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	release := make(chan bool)
@@ -348,7 +367,7 @@
 	close(release)
 	a, err := http1.ReadResponse(c.In)
 	if err != nil || a.Status != 200 || !a.Close || fresh.Status != 503 || !fresh.Close {
-		t.Errorf("owed: %+v, %v; a new connection: %+v", a, err, fresh)
+		t.Errorf("request in flight: %+v, %v; new connection: %+v", a, err, fresh)
 	}
 	p.waitForLog(t, "received=1 requests.served=1")
 	if err := p.cmd.Wait(); err != nil {
@@ -356,22 +375,22 @@
 	}
 }
 
-// On SIGHUP the file is read again: one that can't be used changes nothing, and a new address of discovery is
-// used at once. SIGHUP may also come during the shutdown.
+// TestSIGHUPSwitchesDiscoveryAddress checks the reload on SIGHUP: an invalid file changes nothing, and a new
+// discovery address takes effect at once. SIGHUP during the shutdown does no harm.
 func TestSIGHUPSwitchesDiscoveryAddress(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	old, fresh := nettest.NewDiscovery(t), nettest.NewDiscovery(t)
 	p := start(t, old.Address, serverList("in_service", x), 200)
-	replace := func(text, expect string) {
+	reload := func(text, logged string) {
 		if err := os.WriteFile(p.configFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		p.waitForLog(t, expect)
+		p.waitForLog(t, logged)
 	}
-	replace("{", "config: reload rejected")
+	reload("{", "config: reload rejected")
 	old.Send(t, "")
-	replace(platformConfig(fresh.Address, "null", 200), "discovery: moved")
+	reload(platformConfig(fresh.Address, "null", 200), "discovery: moved")
 	fresh.Send(t, serverList("in_service", x))
 	a := nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request("GET", "lookup", "id", 15*time.Second))
 	if a.Status != 200 {
@@ -386,22 +405,24 @@
 	}
 }
 
-// The process outlives the reader of its log, though a write to a pipe without a reader raises SIGPIPE.
+// TestSurvivesClosedLogPipe checks that the process keeps running after the reader of its log is gone,
+// although a write to a pipe without a reader raises SIGPIPE.
 func TestSurvivesClosedLogPipe(t *testing.T) {
 	p := start(t, "", serverList("ready"), 100)
 	if err := p.logPipe.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
-		p.cmd.Process.Signal(syscall.SIGUSR1) // has the counters logged
+		p.cmd.Process.Signal(syscall.SIGUSR1) // makes the process log its counters
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Wait()
 	if state := p.cmd.ProcessState; state.ExitCode() != 0 {
-		t.Errorf("the process ended with %v", state)
+		t.Errorf("the process exited with %v", state)
 	}
 }
 
+// TestSIGUSR1LogsCounters checks that SIGUSR1 makes the process log its counters.
 func TestSIGUSR1LogsCounters(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 200)
@@ -410,51 +431,53 @@
 	line := p.waitForLog(t, "msg=counters")
 	for _, want := range []string{"requests.served=1", "sent.served=1", "clients.accepted=1"} {
 		if !strings.Contains(line, want) {
-			t.Errorf("no %s in %s", want, line)
+			t.Errorf("%s is missing in %s", want, line)
 		}
 	}
 }
 
-// Clients beyond the budget of descriptors are rejected with a response, and those within it are still
-// served.
+// TestSocketBudget checks that clients beyond the budget of file descriptors are rejected with a response,
+// and that those within it are still served.
 func TestSocketBudget(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.NoResponse }))
-	// The budget is 16 connections, of clients and to servers together.
-	p := startWithConfig(t, withShortDeadline(platformConfig(nettest.NewDiscovery(t).Address, serverList("in_service", x), 40)))
-	for range 30 { // these send nothing, and must not keep others from being served
+	// The budget is 16 connections: from clients and to servers together.
+	p := startWithConfig(t, withShortLatencyTarget(platformConfig(nettest.NewDiscovery(t).Address,
+		serverList("in_service", x), 40)))
+	for range 30 { // they send nothing, and must not prevent others from being served
 		nettest.Dial(t, p.address)
 	}
-	nettest.Until(t, "all are accepted", func() bool {
+	nettest.Until(t, "all connections are accepted", func() bool {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
 		return strings.Contains(p.waitForLog(t, "msg=counters"), "accepted=30")
 	})
 	time.Sleep(100 * time.Millisecond) // longer than clients.silent_for
-	var all []*connbuffer.Conn
+	var clients []*connbuffer.Conn
 	for i := range 5 {
 		c := nettest.Dial(t, p.address)
 		io.WriteString(c, nettest.Request("GET", "lookup", fmt.Sprint("id", i), time.Hour))
-		all = append(all, c)
+		clients = append(clients, c)
 	}
 	nettest.Until(t, "attempts arrive", func() bool { return len(x.Received("/api")) > 0 })
-	nettest.Until(t, "one beyond the budget is told", func() bool { // or only closed, as long as many are told
+	nettest.Until(t, "a client beyond the budget gets 503", func() bool { // or is only closed while many get it
 		c := nettest.Dial(t, p.address)
 		io.WriteString(c, nettest.Request("GET", "lookup", "more", time.Hour))
 		a, err := http1.ReadResponse(c.In)
 		return err == nil && a.Status == 503
 	})
-	for i, c := range all {
+	for i, c := range clients {
 		if a, err := http1.ReadResponse(c.In); err != nil || a.Status < 500 {
 			t.Errorf("client %d: %+v, %v", i, a, err)
 		}
 	}
 }
 
-// Clients that leave each connection open after one request do not exhaust the budget: beyond a quarter of it
-// the connections that have been idle longest are closed, well before clients.idle.
+// TestOldestIdleConnectionsAreClosed checks that clients that leave each connection open after one request do
+// not exhaust the budget: beyond a quarter of it, the proxy closes the connections that have been idle
+// longest, well before clients.idle.
 func TestOldestIdleConnectionsAreClosed(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
-	// The budget is 16, and a quarter of it 4. With patientTimes a connection may rest for longer than the test
-	// waits.
+	// The budget is 16 connections, and a quarter of it 4. With longTimeouts, clients.idle is longer than the
+	// test waits.
 	p := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 40)
 	first := nettest.Dial(t, p.address)
 	nettest.Ask(t, first, nettest.Request("GET", "lookup", "first", 15*time.Second))
@@ -476,8 +499,9 @@
 	}
 }
 
-// To a server a request with the id of an open one would be its duplicate: it is rejected, and the open one
-// goes on. The id stays in use while an attempt of the first request is under way.
+// TestDuplicateRequestIDIsRejected checks that a request with the id of a request in flight is rejected,
+// because a server would take it for a duplicate, and that the first request continues. The id stays in use
+// while an attempt of the first request is in flight.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release := make(chan bool)
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response {
@@ -490,7 +514,7 @@
 	io.WriteString(c, text)
 	nettest.Until(t, "the attempt arrives", func() bool { return len(x.Received("/api")) == 1 })
 	if a := nettest.Ask(t, nettest.Dial(t, p.address), text); a.Status != 409 {
-		t.Errorf("the same id gets %d", a.Status)
+		t.Errorf("a request with an id in use gets status %d", a.Status)
 	}
 	close(release)
 	if a, err := http1.ReadResponse(c.In); err != nil || string(a.Body) != "first" ||
@@ -498,13 +522,15 @@
 		t.Errorf("%+v, %v after %d attempts", a, err, len(x.Received("/api")))
 	}
 	if a := nettest.Ask(t, c, text); a.Status != 200 {
-		t.Errorf("an id that is free again gets %d", a.Status)
+		t.Errorf("a request with a released id gets status %d", a.Status)
 	}
 }
 
-// A client that sends no request, or only a part of one, gets an error response or is closed.
+// TestSlowClientsTimeOut checks that a client that sends no request is disconnected, and that one that sends
+// only part of a request gets status 408.
 func TestSlowClientsTimeOut(t *testing.T) {
-	p := startWithConfig(t, platformConfig(nettest.NewDiscovery(t).Address, "null", 200), defaultClientTimeouts...)
+	p := startWithConfig(t, platformConfig(nettest.NewDiscovery(t).Address, "null", 200),
+		defaultClientTimeouts...)
 	for in, status := range map[string]int{
 		"": 0, "GET / HT": 408, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n": 408,
 	} {
@@ -520,32 +546,36 @@
 	}
 }
 
+// TestInvalidRequests checks the status of the response to each invalid request, and whether the proxy then
+// closes the connection.
 func TestInvalidRequests(t *testing.T) {
-	p := startWithConfig(t, platformConfig(nettest.NewDiscovery(t).Address, "null", 200), defaultClientTimeouts...)
+	p := startWithConfig(t, platformConfig(nettest.NewDiscovery(t).Address, "null", 200),
+		defaultClientTimeouts...)
 	good := nettest.Request("GET", "lookup", "id", time.Second)
 	for _, c := range []struct {
 		name, in string
 		status   int
 		closes   bool
 	}{
-		{"no HTTP", "hello\r\n\r\n", 400, true},
+		{"not HTTP", "hello\r\n\r\n", 400, true},
 		{"GET with a large body", strings.Replace(good, "\r\n\r\n", "\r\nContent-Length: 70000\r\n\r\n", 1) +
 			strings.Repeat("x", 5000), 400, true},
-		{"large body that is a lie", strings.Replace(strings.Replace(good, "GET", "POST", 1), "\r\n\r\n",
+		{"large body that is not sent whole", strings.Replace(strings.Replace(good, "GET", "POST", 1), "\r\n\r\n",
 			"\r\nContent-Length: 70000\r\n\r\n", 1) + "x", 408, true},
-		{"length twice", strings.Replace(good, "\r\n\r\n", "\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n", 1),
-			400, true},
-		{"length beside chunks", strings.Replace(good, "\r\n\r\n",
+		{"duplicate Content-Length", strings.Replace(good, "\r\n\r\n",
+			"\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n", 1), 400, true},
+		{"Content-Length with chunked encoding", strings.Replace(good, "\r\n\r\n",
 			"\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1), 400, true},
-		{"chunk that overflows", strings.Replace(strings.Replace(good, "GET", "POST", 1), "\r\n\r\n",
+		{"chunk size that overflows", strings.Replace(strings.Replace(good, "GET", "POST", 1), "\r\n\r\n",
 			"\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n", 1), 400, true},
 		{"expectation", strings.Replace(good, "\r\n\r\n", "\r\nExpect: more\r\n\r\n", 1), 417, true},
-		{"wrong length", strings.Replace(good, "\r\n\r\n", "\r\nContent-Length: 2\r\n\r\nrider", 1), 400, true},
+		{"body longer than Content-Length", strings.Replace(good, "\r\n\r\n",
+			"\r\nContent-Length: 2\r\n\r\nrider", 1), 400, true},
 		{"GET with a body", strings.Replace(good, "\r\n\r\n", "\r\nContent-Length: 5\r\n\r\nrider", 1), 400, false},
 		{"method", strings.Replace(good, "GET", "PUT", 1), 405, false},
 		{"class", strings.Replace(good, "lookup", "unheard-of", 1), 400, false},
 		{"tenant", strings.Replace(good, "acme", "unheard-of", 1), 400, false},
-		{"no id", strings.Replace(good, "X-Request-ID", "X-Other", 1), 400, false},
+		{"no request id", strings.Replace(good, "X-Request-ID", "X-Other", 1), 400, false},
 		{"time", strings.Replace(good, "X-Timeout: 1", "X-Timeout: x1", 1), 400, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -557,13 +587,16 @@
 	}
 }
 
+// TestInvalidConfigExitsWithOneMessage checks that an invalid configuration makes the program exit with an
+// error status and a single message that names the key.
 func TestInvalidConfigExitsWithOneMessage(t *testing.T) {
-	p := startWithoutWaiting(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":{"grades":7}}`)
+	p := startWithoutWaiting(t,
+		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":{"grades":7}}`)
 	line := p.waitForLog(t, "cresshub: ")
 	if !strings.Contains(line, `"grades"`) || p.logLines.Scan() {
 		t.Errorf("%q, then %q", line, p.logLines.Text())
 	}
 	if err := p.cmd.Wait(); err == nil {
-		t.Error("exit 0")
+		t.Error("the program exited with status 0")
 	}
 }
