--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -24,10 +24,11 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// The benchmarks drive requests over real loopback sockets, one after the other on kept connections, to a
-// server that answers at once. What client and server cost is the same beside each rival of a run.
+// The benchmarks send requests over real loopback sockets to a server that responds at once. Each connection
+// stays open and carries one request at a time. The cost of client and server is the same for each
+// alternative of a run.
 
-// drive sends b.N requests and reads their answers.
+// sendRequests sends b.N requests and reads their responses.
 func sendRequests(b *testing.B, address string) {
 	b.Helper()
 	var ids atomic.Int64
@@ -57,14 +58,15 @@
 	b.StopTimer()
 }
 
+// startFastServer starts a server that responds at once.
 func startFastServer(b *testing.B) *nettest.ScriptedServer {
 	b.Helper()
 	return nettest.Serve(b, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("done\n") }))
 }
 
-// BenchmarkRequest is what a request costs directly, through a front of net/http's ReverseProxy, and
-// through ingress, decide and upstream in this process: with the log of requests off and on, and with the
-// ledger on.
+// BenchmarkRequest measures the cost of a request sent directly to the server, through a net/http
+// ReverseProxy, and through a cresshub proxy in this process (ingress, decide and upstream), with the request
+// log off and on, and with the ledger on.
 func BenchmarkRequest(b *testing.B) {
 	zone := startFastServer(b)
 	b.Run("direct", func(b *testing.B) { sendRequests(b, zone.Address) })
@@ -85,12 +87,13 @@
 		{"cresshub", ""}, {"cresshub-log", "[log]\nrequests = true\nrequest_rate = 0.0\n"},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p, end := runProxy(b, tomlConfig(zone)+c.set)
+			p, stop := runProxy(b, tomlConfig(zone)+c.set)
 			sendRequests(b, p.Address())
-			end()
+			stop()
 		})
 	}
-	// The ledger on, with all three of its replicas in this process: what the other two cost is in it too.
+	// With the ledger on, all three of its replicas run in this process, so the result includes the cost of the
+	// other two.
 	b.Run("cresshub-ledger", func(b *testing.B) {
 		gossip, adminAddress := unusedAddress(b), unusedAddress(b)
 		var first *daemon.Proxy
@@ -105,13 +108,13 @@
 				text += fmt.Sprintf("seeds = [%q]\n", seeds)
 			}
 			text += fmt.Sprintf("[ledger]\nbind = \"127.0.0.1:0\"\ndata = %q\n", b.TempDir())
-			p, end := runProxy(b, text)
-			defer end()
+			p, stop := runProxy(b, text)
+			defer stop()
 			if first == nil {
 				first = p
 			}
 		}
-		for begun := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+		for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 			var page daemon.LedgerPage
 			a, err := http.Get("http://" + adminAddress + "/_ledger")
 			if err == nil {
@@ -121,15 +124,15 @@
 			if err == nil && len(page.Group.Voters) == 3 && page.Ledger != nil {
 				break
 			}
-			if time.Since(begun) > time.Minute {
-				b.Fatalf("the group has not formed: %+v (%v)", page, err)
+			if time.Since(began) > time.Minute {
+				b.Fatalf("the ledger group has not formed within a minute: %+v (%v)", page, err)
 			}
 		}
 		sendRequests(b, first.Address())
 	})
 }
 
-// free is an address that nobody listens at now.
+// unusedAddress returns a loopback address that no process listens on at the time of the call.
 func unusedAddress(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,8 +143,8 @@
 	return l.Addr().String()
 }
 
-// proxy runs a proxy in this process with a configuration; end ends it as SIGINT does.
-func runProxy(b *testing.B, text string) (p *daemon.Proxy, end func()) {
+// runProxy runs a proxy in this process with the text of a TOML configuration; stop ends it as SIGINT does.
+func runProxy(b *testing.B, text string) (p *daemon.Proxy, stop func()) {
 	b.Helper()
 	file := filepath.Join(b.TempDir(), "c.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -166,13 +169,13 @@
 	}
 }
 
-// BenchmarkProcess compares binaries as the platform starts them: BENCH_BINARIES names some as
-// name=path,name=path. Beside the cost of a request it tells the time from the start to readiness and the
-// resident memory before and after the load.
+// BenchmarkProcess compares binaries, started as the platform starts them. BENCH_BINARIES lists them as
+// name=path,name=path. In addition to the cost of a request it reports the time from the start to readiness,
+// and the resident memory before and after the load.
 func BenchmarkProcess(b *testing.B) {
 	binaries := os.Getenv("BENCH_BINARIES")
 	if binaries == "" {
-		b.Skip("BENCH_BINARIES names none")
+		b.Skip("BENCH_BINARIES lists no binary")
 	}
 	zone := startFastServer(b)
 	for pair := range strings.SplitSeq(binaries, ",") {
@@ -197,7 +200,7 @@
 	}
 }
 
-// resident is a process's resident memory in MB.
+// residentMB returns a process's resident memory in MiB.
 func residentMB(b *testing.B, pid int) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -21,33 +21,35 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// pattern is a body of any length. Its bytes depend on their positions, so that lost ones change its
-// checksum.
-type patternReader struct{ at, size int64 }
+// patternReader reads a generated body of size bytes. Each byte depends on its offset, so that lost bytes
+// change the checksum.
+type patternReader struct{ offset, size int64 }
 
-func (p *patternReader) Read(to []byte) (int, error) {
-	n := int(min(int64(len(to)), p.size-p.at))
+func (p *patternReader) Read(buf []byte) (int, error) {
+	n := int(min(int64(len(buf)), p.size-p.offset))
 	if n == 0 {
 		return 0, io.EOF
 	}
-	for i := range to[:n] {
-		to[i] = byte((p.at + int64(i)) * 2654435761 >> 13)
+	for i := range buf[:n] {
+		buf[i] = byte((p.offset + int64(i)) * 2654435761 >> 13)
 	}
-	p.at += int64(n)
+	p.offset += int64(n)
 	return n, nil
 }
 
-// sum reads all of r and returns its checksum and its length.
+// readChecksum reads r to its end and returns the checksum and the length.
 func readChecksum(r io.Reader) (checksum uint32, length int64, err error) {
 	hash := crc32.NewIEEE()
 	length, err = io.Copy(hash, r)
 	return hash.Sum32(), length, err
 }
 
-// largeZone starts a zone server and returns its address. Its responses have a body as long as the query's
-// size, chunked where the query says so, and a header with length and checksum of the request's body. raw, if
-// not nil, may write the response instead: where it returns true the connection ends.
-func startLargeBodyServer(t *testing.T, raw func(q *http1.Request, body *http1.Body, c *connbuffer.Conn) bool) string {
+// startLargeBodyServer starts a server and returns its address. Its responses have a body of the size that
+// the query gives, chunked if the query asks for it, and a header X-Got with the length and checksum of the
+// request's body. raw, if not nil, may write the response instead: if it returns true, the server closes the
+// connection.
+func startLargeBodyServer(t *testing.T,
+	raw func(q *http1.Request, body *http1.Body, c *connbuffer.Conn) bool) string {
 	t.Helper()
 	return nettest.Listen(t, func(c *connbuffer.Conn) {
 		for {
@@ -86,15 +88,16 @@
 	})
 }
 
-// send writes a pattern as a body.
+// writePatternBody writes a body of length bytes from a patternReader.
 func writePatternBody(w *http1.BodyWriter, length int64) error {
-	if _, err := io.CopyBuffer(struct{ io.Writer }{w}, &patternReader{size: length}, make([]byte, 8000)); err != nil {
+	if _, err := io.CopyBuffer(struct{ io.Writer }{w}, &patternReader{size: length},
+		make([]byte, 8000)); err != nil {
 		return err
 	}
 	return w.Close()
 }
 
-// upload sends a request with a large body, chunked where its length is -1.
+// upload sends a POST request with a body of size bytes. length is its Content-Length; -1 means chunked.
 func upload(c *connbuffer.Conn, id string, length, size int64) error {
 	q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(
 		largeRequestHead("POST", "assign", id, "size=0", time.Hour))))
@@ -109,33 +112,35 @@
 	return errors.Join(err, c.Flush())
 }
 
-// listOf is a full list with one server.
+// singleServerList returns a full server list with one server.
 func singleServerList(address string) string {
 	return nettest.List(true, "in_service", map[string]string{"s-0": address})
 }
 
-// large is the head of a request to a largeZone, with a query.
-func largeRequestHead(method, class, id, query string, wait time.Duration) string {
-	return strings.Replace(nettest.Request(method, class, id, wait), "/api?", "/api?"+query+"&", 1)
+// largeRequestHead returns the head of a request with a query for startLargeBodyServer.
+func largeRequestHead(method, class, id, query string, timeout time.Duration) string {
+	return strings.Replace(nettest.Request(method, class, id, timeout), "/api?", "/api?"+query+"&", 1)
 }
 
-// raceDetectorOn reports whether the test, and so the program, was built with the race detector.
+// raceDetectorEnabled reports whether the test binary, which is also the program, was built with the race
+// detector.
 func raceDetectorEnabled() bool {
 	info, _ := debug.ReadBuildInfo()
 	return slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }
 
-// Many bodies of 32 MB are passed on in both directions at once, unchanged and within the memory that the
-// program may use, while small requests are still served.
+// TestLargeBodiesInBoundedMemory checks that the proxy forwards many bodies of 32 MiB in both directions at
+// once, unchanged and within its memory limit, while it still serves small requests.
 func TestLargeBodiesInBoundedMemory(t *testing.T) {
 	const size, transfers = 32 << 20, 12
 	raced := raceDetectorEnabled()
-	config := platformConfig(nettest.NewDiscovery(t).Address, singleServerList(startLargeBodyServer(t, nil)), 300)
+	config := platformConfig(nettest.NewDiscovery(t).Address,
+		singleServerList(startLargeBodyServer(t, nil)), 300)
 	p := startWithConfig(t, withLongDeadline(config))
 	want, _, _ := readChecksum(&patternReader{size: size})
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range transfers {
-		all.Go(func() {
+		running.Go(func() {
 			c := nettest.Dial(t, p.address)
 			c.SetDeadline(time.Now().Add(3 * nettest.Patience))
 			length := int64(size)
@@ -151,7 +156,7 @@
 				t.Errorf("upload %d: %+v, %v", i, a, err)
 			}
 		})
-		all.Go(func() {
+		running.Go(func() {
 			c := nettest.Dial(t, p.address)
 			c.SetDeadline(time.Now().Add(3 * nettest.Patience))
 			kind := "whole"
@@ -170,36 +175,40 @@
 			}
 		})
 	}
-	small := nettest.Dial(t, p.address)
+	smallConn := nettest.Dial(t, p.address)
 	var took []time.Duration
 	for i := range 50 {
 		asked := time.Now()
-		small.SetDeadline(asked.Add(nettest.Patience))
-		a := nettest.Ask(t, small, largeRequestHead("GET", "lookup", fmt.Sprint("small-", i), "size=10", time.Hour))
+		smallConn.SetDeadline(asked.Add(nettest.Patience))
+		a := nettest.Ask(t, smallConn,
+			largeRequestHead("GET", "lookup", fmt.Sprint("small-", i), "size=10", time.Hour))
 		if a.Status != 200 || len(a.Body) != 10 {
-			t.Errorf("small one: %d", a.Status)
+			t.Errorf("small request: status %d", a.Status)
 		}
 		took = append(took, time.Since(asked))
 	}
-	all.Wait()
+	running.Wait()
 	slices.Sort(took)
-	t.Logf("small requests beside them: %v in the median, %v at most", took[25], took[49])
+	t.Logf("small requests during the transfers: median %v, maximum %v", took[25], took[49])
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
 	kb, err := strconv.Atoi(strings.Fields(peak)[0])
-	t.Logf("peak of resident memory: %d kB for %d bodies of %d bytes", kb, 2*transfers, size)
-	if took[25] > 500*time.Millisecond && !raced { // a transfer takes longer, so that none waits for one
-		t.Errorf("small requests take %v in the median", took[25])
+	t.Logf("peak resident memory: %d kB for %d bodies of %d bytes", kb, 2*transfers, size)
+	// The bound is shorter than a transfer takes, so a median below it means that small requests do not wait for
+	// transfers.
+	if took[25] > 500*time.Millisecond && !raced {
+		t.Errorf("small requests take %v in the median, want at most 500 ms", took[25])
 	}
-	if err != nil || kb > 64<<10 && !raced { // what the program is told it may have
-		t.Errorf("peak of resident memory: %d kB (%v)", kb, err)
+	if err != nil || kb > 64<<10 && !raced { // limits.memory_mb in the configuration
+		t.Errorf("peak resident memory: %d kB, want at most 64 MiB (%v)", kb, err)
 	}
 }
 
-// X-Timeout counts from the last byte of a request, however long its head and body take to arrive.
+// TestTimeoutStartsAfterLastRequestByte checks that X-Timeout counts from the last byte of a request, however
+// long its head and body take to arrive.
 func TestTimeoutStartsAfterLastRequestByte(t *testing.T) {
 	const timeout = 3 * time.Second
 	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(startLargeBodyServer(t, nil)), 200)
@@ -207,8 +216,8 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			c := nettest.Dial(t, p.address)
-			text := strings.Replace(largeRequestHead("POST", "assign", fmt.Sprint(size), "size=0", timeout), "\r\n\r\n",
-				fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n", size), 1)
+			text := strings.Replace(largeRequestHead("POST", "assign", fmt.Sprint(size), "size=0", timeout),
+				"\r\n\r\n", fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n", size), 1)
 			for _, part := range []string{text[:5], text[5:60], text[60:], strings.Repeat("x", size/2)} {
 				io.WriteString(c, part)
 				time.Sleep(timeout * 2 / 5)
@@ -222,8 +231,9 @@
 	}
 }
 
-// A large request whose server closes the connection before the last byte never ran. It is rejected, and not
-// sent again, because its beginning was not buffered.
+// TestServerClosesDuringUpload checks that a large request is rejected, and not retried, when its server
+// closes the connection before the last byte: the request did not run, but the proxy has not buffered its
+// beginning.
 func TestServerClosesDuringUpload(t *testing.T) {
 	attempts := make(chan bool, 9)
 	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
@@ -240,9 +250,9 @@
 	}
 }
 
-// When a client stops in the middle of a large body, its server can tell that the request is not complete.
-// The client disconnects only after the attempt has reached the server, as there would be no attempt
-// otherwise.
+// TestClientStopsDuringUpload checks that the server can tell that a request is incomplete when its client
+// stops in the middle of a large body. The client disconnects only after the attempt has reached the server,
+// because otherwise there would be no attempt.
 func TestClientStopsDuringUpload(t *testing.T) {
 	began, ended := make(chan bool, 1), make(chan error, 1)
 	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
@@ -275,7 +285,7 @@
 		select {
 		case err := <-ended:
 			if err == nil {
-				t.Errorf("%s: the server took the body for complete", framing)
+				t.Errorf("%s: the server received the body as complete", framing)
 			}
 		case <-time.After(nettest.Patience):
 			t.Errorf("%s: the attempt did not end", framing)
@@ -283,8 +293,9 @@
 	}
 }
 
-// When a server breaks off its response after the head was passed on, the client can tell that it is not
-// complete, whatever its framing, and the request counts as failed.
+// TestServerClosesDuringResponse checks that, when a server closes the connection in the middle of a response
+// whose head was already forwarded, the client can tell with any framing that the response is incomplete, and
+// that the request counts as failed.
 func TestServerClosesDuringResponse(t *testing.T) {
 	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		framing, text := "Content-Length: 300000", strings.Repeat("x", 100_000)
@@ -307,15 +318,16 @@
 			t.Fatalf("%+v, %v", a, err)
 		}
 		if _, n, err := readChecksum(b); err == nil {
-			t.Errorf("%s: a body of %d bytes seems complete", query, n)
+			t.Errorf("%s: the client received a body of %d bytes as complete", query, n)
 		}
 	}
-	nettest.Until(t, "all count as failed", func() bool {
+	nettest.Until(t, "all requests count as failed", func() bool {
 		return strings.Contains(string(callAdmin(t, adminAddress, "GET /_vars").Body), "assign.bad_gateway:3|c")
 	})
 }
 
-// A response of unknown length that takes long is passed on as it comes.
+// TestStreamingResponseIsNotDelayed checks that the proxy forwards each part of a response of unknown length
+// as soon as it arrives.
 func TestStreamingResponseIsNotDelayed(t *testing.T) {
 	next := make(chan bool)
 	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
@@ -339,14 +351,15 @@
 		if _, err := io.ReadFull(b, got); err != nil || string(got) != "piece" {
 			t.Fatalf("%q, %v", got, err)
 		}
-		next <- true // the server goes on only once its piece has arrived
+		next <- true // the server sends the next piece only after the client received this one
 	}
 	if _, err := b.Read(got); err != io.EOF {
 		t.Error(err)
 	}
 }
 
-// Clients' forms of HTTP/1.1, one after the other on one connection where it stays open.
+// TestHTTPRequestVariants sends the variants of requests that HTTP/1.1 allows, and HTTP/1.0 at the end, on
+// one connection.
 func TestHTTPRequestVariants(t *testing.T) {
 	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(startLargeBodyServer(t, nil)), 200)
 	get := func(id string) string { return largeRequestHead("GET", "lookup", id, "size=3", 15*time.Second) }
@@ -363,7 +376,7 @@
 		}
 	}
 	io.WriteString(c, get("p1")+"\r\n"+get("p2")+get("p3"))
-	for _, what := range []string{"pipelined", "after an empty line", "the last"} {
+	for _, what := range []string{"pipelined", "after an empty line", "last of three"} {
 		check(what, "GET", "0 ")
 	}
 	io.WriteString(c, strings.Replace(get("abs"), "GET /", "GET http://elsewhere/", 1))
@@ -386,6 +399,6 @@
 	io.WriteString(c, strings.Replace(old, "HTTP/1.1\r\nHost: backend.local", "HTTP/1.0", 1))
 	check("HTTP/1.0", "GET", "0 ")
 	if _, err := c.In.Peek(1); err != io.EOF {
-		t.Errorf("HTTP/1.0 goes on: %v", err)
+		t.Errorf("after the HTTP/1.0 response: %v, want the connection closed", err)
 	}
 }
--- a/cmd/cresshub/cli_test.go
+++ b/cmd/cresshub/cli_test.go
@@ -19,15 +19,15 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// own is a file of ours for servers that stand in it.
-func tomlConfig(parties ...*nettest.ScriptedServer) string {
+// tomlConfig returns a configuration file in the program's own format (TOML) that lists servers.
+func tomlConfig(servers ...*nettest.ScriptedServer) string {
 	var b strings.Builder
 	b.WriteString("[listen]\naddress = \"127.0.0.1:0\"\n[cold]\nstart = 1\n" +
 		"[[class]]\nname = \"lookup\"\naim = \"15s\"\ndeadline = \"15s\"\neffect = \"idempotent\"\n" +
 		"[[class]]\nname = \"assign\"\naim = \"15s\"\n" +
 		"deadline = \"15s\"\neffect = \"at_most_once\"\n[[tenant]]\nname = \"acme\"\nshare = 1\nquota = 1000\n")
-	for i, p := range parties {
-		fmt.Fprintf(&b, "[[server]]\nname = \"s-%d\"\naddress = %q\n", i, p.Address)
+	for i, server := range servers {
+		fmt.Fprintf(&b, "[[server]]\nname = \"s-%d\"\naddress = %q\n", i, server.Address)
 	}
 	return b.String()
 }
@@ -39,7 +39,7 @@
 	}
 }
 
-// serveOwn starts the program with a file of ours and waits until it is ready.
+// startWithTOML runs "serve" with the text of a TOML configuration file and waits until it is ready.
 func startWithTOML(t *testing.T, text string, args ...string) *process {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "cresshub.toml")
@@ -50,7 +50,7 @@
 	return p
 }
 
-// call runs one command to its end.
+// runCommand runs the program with args until it exits.
 func runCommand(t *testing.T, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -61,6 +61,7 @@
 	return out.String(), errs.String(), cmd.ProcessState.ExitCode()
 }
 
+// TestExitCodesAndMessages checks the exit status and the output of commands, most of them used wrongly.
 func TestExitCodesAndMessages(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.toml")
 	writeFile(t, file, tomlConfig()+"[log]\nlevl = \"info\"\nrepeat = \"x\"\n[[server]]\nname = \"a\"\n"+
@@ -112,9 +113,11 @@
 	}
 }
 
+// TestConfigShowReportsSources checks that "config show" reports where each value in force was set.
 func TestConfigShowReportsSources(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.toml")
-	writeFile(t, file, strings.Replace(tomlConfig(), "[listen]", "[discovery]\naddress = \"127.0.0.1:1\"\n[listen]", 1))
+	writeFile(t, file, strings.Replace(tomlConfig(), "[listen]",
+		"[discovery]\naddress = \"127.0.0.1:1\"\n[listen]", 1))
 	t.Setenv("EDGE_NAME", "n7")
 	stdout, stderr, _ := runCommand(t, "config", "show", "--json", "-c", file, "--set", "clients.idle=1500ms")
 	var rows []struct {
@@ -139,9 +142,9 @@
 	}
 }
 
-// Reloads with requests in flight: a bad file and one that needs a restart change nothing, live keys and
-// servers are taken over, ten in a row and one that crosses the end do no harm, and whatever was in flight
-// is answered.
+// TestReloadWithRequestsInFlight reloads the configuration with a request in flight: an invalid file and one
+// that needs a restart change nothing, changed servers and keys that need no restart take effect, ten reloads
+// in a row and one during the shutdown do no harm, and the request in flight gets its response.
 func TestReloadWithRequestsInFlight(t *testing.T) {
 	release := make(chan bool)
 	slow := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response {
@@ -153,28 +156,29 @@
 	c := nettest.Dial(t, p.address)
 	io.WriteString(c, nettest.Request("POST", "assign", "id", 15*time.Second))
 	nettest.Until(t, "the attempt arrives", func() bool { return len(slow.Received("/api")) == 1 })
-	reload := func(text, expect string) {
+	reload := func(text, logged string) {
 		t.Helper()
 		writeFile(t, p.configFile, text)
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		if line := p.waitForLog(t, `msg="config: `); !strings.Contains(line, expect) {
-			t.Errorf("%s, want %s", line, expect)
+		if line := p.waitForLog(t, `msg="config: `); !strings.Contains(line, logged) {
+			t.Errorf("log line %s, want %s", line, logged)
 		}
 	}
 	reload("[", "cresshub.toml:1: ")
 	reload(strings.Replace(tomlConfig(quick), "15s", "14s", 1),
 		"a change needs a restart\" name=cresshub keys=class[1].aim")
-	reload("operator = \"127.0.0.1:9\"\n"+tomlConfig(quick), "a change needs a restart\" name=cresshub keys=operator")
-	ask := func(id string, wait time.Duration) *http1.Response {
+	reload("operator = \"127.0.0.1:9\"\n"+tomlConfig(quick),
+		"a change needs a restart\" name=cresshub keys=operator")
+	ask := func(id string, timeout time.Duration) *http1.Response {
 		t.Helper()
-		return nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request("GET", "lookup", id, wait))
+		return nettest.Ask(t, nettest.Dial(t, p.address), nettest.Request("GET", "lookup", id, timeout))
 	}
 	if a := ask("no", 200*time.Millisecond); a.Status == 200 {
-		t.Error("the server of a file that was refused answers")
+		t.Error("the server of a rejected file serves requests")
 	}
 	reload(tomlConfig(quick)+"[log]\nrequests = true\n", "config: reloaded")
 	tries := 0
-	nettest.Until(t, "the new list is in force", func() bool { // it is taken in beside the reload
+	nettest.Until(t, "the new list is in force", func() bool { // it is applied concurrently with the reload
 		tries++
 		return ask(fmt.Sprint("early-", tries), 200*time.Millisecond).Status == 200
 	})
@@ -193,7 +197,7 @@
 	p.waitForLog(t, `msg="proxy: shutting down"`)
 	close(release)
 	if a, err := http1.ReadResponse(c.In); err != nil || string(a.Body) != "slow" {
-		t.Errorf("what was in flight: %+v, %v", a, err)
+		t.Errorf("request in flight: %+v, %v", a, err)
 	}
 	p.waitForLog(t, "msg=counters")
 	if err := p.cmd.Wait(); err != nil {
@@ -201,18 +205,19 @@
 	}
 }
 
-// Nobody reads the log, and it is more than the pipe and the backlog hold: requests go on, and so does the
-// end.
+// TestUnreadLogDoesNotBlock checks that requests are served and the process exits although nobody reads its
+// log and the log exceeds what the pipe and the backlog hold.
 func TestUnreadLogDoesNotBlock(t *testing.T) {
 	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
-	text := strings.ReplaceAll(tomlConfig(x), "15s", "1h") // so that no delay is a queue worth a refusal
+	// With targets and deadlines of one hour, no delay makes the proxy reject requests for queueing.
+	text := strings.ReplaceAll(tomlConfig(x), "15s", "1h")
 	p := startWithTOML(t, text+"[log]\nrequests = true\nrequest_rate = 0.0\nbacklog = \"4KiB\"\n")
 	c := nettest.Dial(t, p.address)
 	for i := range 1000 { // about 170 bytes a line, and a pipe holds 64 KiB
 		c.SetDeadline(time.Now().Add(nettest.Patience))
 		a := nettest.Ask(t, c, nettest.Request("GET", "lookup", fmt.Sprint("id", i), time.Hour))
 		if a.Status != 200 {
-			t.Fatalf("request %d gets %d", i, a.Status)
+			t.Fatalf("request %d gets status %d", i, a.Status)
 		}
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
@@ -224,33 +229,35 @@
 			t.Error(err)
 		}
 	case <-time.After(nettest.Patience):
-		t.Error("the end waits for who reads the log")
+		t.Error("the process does not exit while nobody reads its log")
 	}
 }
 
-// trialReport is what "try --json" prints, as far as the tests look at it.
+// trialReport is the part of the output of "try --json" that the tests check.
 type trialReport struct {
 	Offered, Served, Rejected, Failed int
 	InTime                            *int     `json:"served_in_time"`
 	P50                               *float64 `json:"p50_ms"`
-	LoadLag                           float64  `json:"load_lag_ms"` // how late the load was sent
+	LoadLag                           float64  `json:"load_lag_ms"` // how late the requests were sent
 	Rate, Seconds                     float64  // of the load
 	Rules                             map[string]int
 	Servers                           []struct{ Requests int }
 }
 
-// heldUp reports whether this machine stalled a trial: its load, which waits for nothing, was late, or the
-// stall lasted until the load's end, or this process was stalled too. How long the proxy took is no excuse.
+// machineStalled reports whether the machine stalled a trial: the load, which is sent without waiting for
+// responses, was late, or a stall until the end of the load reduced the number of requests, or this process
+// was stalled too. The time that the proxy took does not count as a stall of the machine.
 func (r *trialReport) machineStalled(stall time.Duration) bool {
 	const (
-		maxStall   = 250 * time.Millisecond
-		minOffered = 0.8 // of what its rate comes to
+		maxStall           = 250 * time.Millisecond
+		minOfferedFraction = 0.8 // fraction of the requests that rate and duration amount to
 	)
 	return r.LoadLag > float64(maxStall.Milliseconds()) ||
-		float64(r.Offered) < minOffered*r.Rate*r.Seconds || stall > maxStall
+		float64(r.Offered) < minOfferedFraction*r.Rate*r.Seconds || stall > maxStall
 }
 
-// watchStalls returns what ends the watch and tells the longest time in which this process was not run.
+// measureStalls starts to measure stalls of this process. The returned function ends the measurement and
+// returns the longest time for which the process was not scheduled.
 func measureStalls() (end func() time.Duration) {
 	const interval = 10 * time.Millisecond
 	stop, longest := make(chan struct{}), make(chan time.Duration)
@@ -271,7 +278,7 @@
 	return func() time.Duration { close(stop); return <-longest }
 }
 
-// tryOnce runs a trial of three seconds.
+// runTrial runs a trial of three seconds in which the servers have the given trouble.
 func runTrial(t *testing.T, trouble string) (r trialReport, code int, output string) {
 	t.Helper()
 	stdout, stderr, code := runCommand(t, "try", "--for", "3s", "--servers", "5", "--load", "0.3", "--json",
@@ -282,8 +289,9 @@
 	return r, code, stdout + stderr
 }
 
-// A trial that this machine held up is repeated: its clients have deadlines of 1.5 s, and what a stall does
-// to them says nothing of the proxy. But no stall excuses a request that ran twice, or a wrong count.
+// TestTry runs trials without trouble and with several kinds of it. A trial that the machine stalled is
+// repeated: its clients have deadlines of 1.5 s, and the effect of a stall on them says nothing about the
+// proxy. A request that ran twice or a wrong count fails the test regardless of stalls.
 func TestTry(t *testing.T) {
 	const maxTrials = 10
 	for _, trouble := range []string{"", "drain", "crash", "mixed"} {
@@ -306,16 +314,17 @@
 					return
 				}
 				if !r.machineStalled(stall) || trial == maxTrials {
-					t.Fatalf("status %d, stalled for %v, the load was late by %.0f ms\n%s", code, stall, r.LoadLag,
+					t.Fatalf("status %d, process stalled for %v, requests sent %.0f ms late\n%s", code, stall, r.LoadLag,
 						output)
 				}
-				t.Logf("repeated: stalled for %v, the load was late by %.0f ms", stall, r.LoadLag)
+				t.Logf("trial repeated: process stalled for %v, requests sent %.0f ms late", stall, r.LoadLag)
 			}
 		})
 	}
 }
 
-// An interrupt leaves no process and no socket behind, and what was measured is told.
+// TestTryInterrupted checks that an interrupted trial leaves no process, socket or file behind and still
+// prints its measurements.
 func TestTryInterrupted(t *testing.T) {
 	log := filepath.Join(t.TempDir(), "log")
 	cmd := exec.Command(os.Args[0], "try", "--for", "10m", "--servers", "2", "--log", log,
@@ -339,12 +348,12 @@
 		return whole
 	})
 	cmd.Process.Signal(os.Interrupt)
-	told := false
+	printed := false
 	for lines := bufio.NewScanner(out); lines.Scan(); {
-		told = told || strings.Contains(lines.Text(), "rider_assign_once")
+		printed = printed || strings.Contains(lines.Text(), "rider_assign_once")
 	}
-	if cmd.Wait(); cmd.ProcessState.ExitCode() != 1 || !told {
-		t.Errorf("%v, counts told: %v", cmd.ProcessState, told)
+	if cmd.Wait(); cmd.ProcessState.ExitCode() != 1 || !printed {
+		t.Errorf("%v, counts printed: %v", cmd.ProcessState, printed)
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
--- a/cmd/cresshub/fleet_test.go
+++ b/cmd/cresshub/fleet_test.go
@@ -16,9 +16,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// The settings of the fleet in these tests: with quickProbes a dead member is noticed within seconds. With
-// slowProbes no member is suspected, however long this machine stalls it, and gossip alone spreads what
-// happens.
+// Fleet settings of these tests. With quickProbes, a dead member is detected within seconds. With slowProbes,
+// no member is suspected, however long the machine stalls it, and only gossip propagates changes.
 const (
 	quickProbes = `probe = "200ms"
 probe_timeout = "100ms"
@@ -35,28 +34,30 @@
 `
 )
 
+// member is a running process of a fleet.
 type member struct {
 	*process
 	name, gossip, adminAddress string
 }
 
-// fleetOf starts n members with settings, each joining by the first, and waits until every view holds all n
-// alive.
+// startFleet starts n members with the fleet settings keys; each joins through the first. It waits until
+// every member sees all n alive.
 func startFleet(t *testing.T, n int, keys string) []*member {
 	t.Helper()
 	discovery := nettest.NewDiscovery(t).Address
-	var all []*member
+	var members []*member
 	for i := range n {
 		seeds := ""
 		if i > 0 {
-			seeds = fmt.Sprintf("seeds = [%q]\n", all[0].gossip)
+			seeds = fmt.Sprintf("seeds = [%q]\n", members[0].gossip)
 		}
-		all = append(all, startMember(t, fmt.Sprintf("m-%d", i), discovery, seeds+keys))
+		members = append(members, startMember(t, fmt.Sprintf("m-%d", i), discovery, seeds+keys))
 	}
-	waitForViews(t, all, func(p gossip.Page) bool { return countAlive(p) == n })
-	return all
+	waitForViews(t, members, func(p gossip.Page) bool { return countAlive(p) == n })
+	return members
 }
 
+// startMember starts one member and waits until it is ready.
 func startMember(t *testing.T, name, discovery, keys string) *member {
 	t.Helper()
 	file := writeMemberConfig(t, name, discovery, keys)
@@ -68,7 +69,7 @@
 	return m
 }
 
-// memberFile writes the configuration of a member with keys of its fleet.
+// writeMemberConfig writes the configuration of a member with the fleet settings keys and returns its path.
 func writeMemberConfig(t *testing.T, name, discovery, keys string) string {
 	t.Helper()
 	text := fmt.Sprintf("name = %q\noperator = \"127.0.0.1:0\"\n[listen]\naddress = \"127.0.0.1:0\"\n"+
@@ -81,7 +82,7 @@
 	return file
 }
 
-// view asks a member's admin API for its view; ok is false where it does not respond.
+// fleetView returns the member's view of the fleet from its admin API; ok is false if it does not respond.
 func (m *member) fleetView() (gossip.Page, bool) {
 	var p gossip.Page
 	c := http.Client{Timeout: nettest.Patience}
@@ -93,6 +94,7 @@
 	return p, a.StatusCode == 200 && json.NewDecoder(a.Body).Decode(&p) == nil
 }
 
+// countAlive returns the number of members that are alive in a view.
 func countAlive(p gossip.Page) int {
 	n := 0
 	for _, m := range p.Members {
@@ -103,6 +105,7 @@
 	return n
 }
 
+// findMember returns the entry of a member in a view; its second result is false if there is none.
 func findMember(p gossip.Page, name string) (gossip.Member, bool) {
 	i := slices.IndexFunc(p.Members, func(m gossip.Member) bool { return m.Name == name })
 	if i < 0 {
@@ -111,14 +114,15 @@
 	return p.Members[i], true
 }
 
-// settled waits until holds is true of every member's view, polling every 20 ms, and says how long it took.
-func waitForViews(t *testing.T, of []*member, holds func(gossip.Page) bool) time.Duration {
+// waitForViews polls the views of members every 20 ms until condition holds for each, and returns how long
+// that took.
+func waitForViews(t *testing.T, members []*member, condition func(gossip.Page) bool) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for {
 		all := true
-		for _, m := range of {
-			if p, ok := m.fleetView(); !ok || !holds(p) {
+		for _, m := range members {
+			if p, ok := m.fleetView(); !ok || !condition(p) {
 				all = false
 				break
 			}
@@ -127,24 +131,25 @@
 			return time.Since(start)
 		}
 		if time.Since(start) > nettest.Patience {
-			for _, m := range of {
+			for _, m := range members {
 				p, _ := m.fleetView()
 				t.Logf("%s sees %+v", m.name, p.Members)
 			}
-			t.Fatalf("the views did not settle within %v", nettest.Patience)
+			t.Fatalf("the condition does not hold in every view after %v", nettest.Patience)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// A member killed with SIGKILL is dead in every live view. How soon depends on this machine too: the model's
-// worst time is checked in package proxysim.
+// TestFleetDetectsKilledMember checks that a member killed with SIGKILL becomes dead in the views of all live
+// members. How soon depends on the machine too, so package proxysim checks the worst-case time in a
+// simulation.
 func TestFleetDetectsKilledMember(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts seven processes")
 	}
-	all := startFleet(t, 7, quickProbes)
-	killed, rest := all[3], slices.Delete(slices.Clone(all), 3, 4)
+	members := startFleet(t, 7, quickProbes)
+	killed, rest := members[3], slices.Delete(slices.Clone(members), 3, 4)
 	if err := killed.cmd.Process.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
@@ -152,17 +157,17 @@
 		m, ok := findMember(p, killed.name)
 		return ok && m.Status == "dead"
 	})
-	t.Logf("a killed member was dead in %d views after %v", len(rest), took)
+	t.Logf("the killed member was dead in %d views after %v", len(rest), took)
 }
 
-// A member that ends by SIGTERM says so: it is left in every view before any probe could miss it, with no
-// suspicion on the way.
+// TestFleetPropagatesLeave checks that a member that exits on SIGTERM announces it: its status becomes "left"
+// in every other view before a probe could fail, and nobody suspects it in between.
 func TestFleetPropagatesLeave(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts seven processes")
 	}
-	all := startFleet(t, 7, slowProbes)
-	leaving, others := all[0], all[1:]
+	members := startFleet(t, 7, slowProbes)
+	leaving, others := members[0], members[1:]
 	if err := leaving.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -173,31 +178,32 @@
 	for _, o := range others {
 		p, _ := o.fleetView()
 		if m, _ := findMember(p, leaving.name); m.Flaps != 1 || m.Suspected != 0 {
-			t.Errorf("%s saw %s on its way out as %+v; one change and no suspicion are wanted", o.name,
+			t.Errorf("%s saw the leave of %s as %+v; want one status change and no suspicion", o.name,
 				leaving.name, m)
 		}
 	}
 	if err := leaving.cmd.Wait(); err != nil {
-		t.Errorf("the member that left ended with %v", err)
+		t.Errorf("the member that left exited with %v", err)
 	}
-	t.Logf("a leave was in %d views after %v", len(others), took)
+	t.Logf("the leave was in %d views after %v", len(others), took)
 }
 
-// A second process under a name that a live member holds is refused at its start, plainly.
+// TestFleetRejectsDuplicateName checks that a process with the name of a live member exits at its start with
+// an error message, and that the live member stays in the fleet.
 func TestFleetRejectsDuplicateName(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	all := startFleet(t, 2, slowProbes)
+	members := startFleet(t, 2, slowProbes)
 	file := writeMemberConfig(t, "m-1", nettest.NewDiscovery(t).Address,
-		fmt.Sprintf("seeds = [%q]\n", all[0].gossip)+slowProbes)
-	twin := startWithArgs(t, file, []string{"serve", "--config", file})
-	line := twin.waitForLog(t, "is held by a live member")
-	if err := twin.cmd.Wait(); err == nil {
-		t.Errorf("the twin started: %s", line)
+		fmt.Sprintf("seeds = [%q]\n", members[0].gossip)+slowProbes)
+	duplicate := startWithArgs(t, file, []string{"serve", "--config", file})
+	line := duplicate.waitForLog(t, "is held by a live member")
+	if err := duplicate.cmd.Wait(); err == nil {
+		t.Errorf("the process with a duplicate name exited with status 0: %s", line)
 	}
-	p, _ := all[0].fleetView()
-	if m, _ := findMember(p, "m-1"); m.Address != all[1].gossip || m.Status != "alive" {
-		t.Errorf("the member held is %+v, not the first m-1 at %s", m, all[1].gossip)
+	p, _ := members[0].fleetView()
+	if m, _ := findMember(p, "m-1"); m.Address != members[1].gossip || m.Status != "alive" {
+		t.Errorf("m-1 is %+v, want the first process at %s", m, members[1].gossip)
 	}
 }
--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -13,32 +13,32 @@
 	"time"
 
 	"cresshub/internal/connbuffer"
-
 	"cresshub/internal/http1"
 	"cresshub/internal/testbed/nettest"
 )
 
+// readinessRequest is a request to the health check for readiness.
 const readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// startWithAdmin starts the program with an admin API and with its clients' address at listen, waits until it
-// is ready, and returns the address of the admin API with it.
-func startWithAdmin(t *testing.T, listen, discovery, known string, env ...string) (p *process,
+// startWithAdmin starts the program with an admin API and with listen as the address for clients, and waits
+// until it is ready. It also returns the address of the admin API.
+func startWithAdmin(t *testing.T, listen, discovery, servers string, env ...string) (p *process,
 	adminAddress string) {
 	t.Helper()
-	p = startWithoutWaiting(t, withLongDeadline(strings.Replace(platformConfig(discovery, known, 200), `"listen":"127.0.0.1:0"`,
-		`"operator":"127.0.0.1:0","listen":"`+listen+`"`, 1)), env...)
+	p = startWithoutWaiting(t, withLongDeadline(strings.Replace(platformConfig(discovery, servers, 200),
+		`"listen":"127.0.0.1:0"`, `"operator":"127.0.0.1:0","listen":"`+listen+`"`, 1)), env...)
 	_, addresses, _ := strings.Cut(p.waitForLog(t, "msg=ready"), "listen=")
 	p.address, adminAddress, _ = strings.Cut(addresses, " operator=")
 	return p, adminAddress
 }
 
-// callAdmin makes a call ("METHOD PATH") to the admin API.
+// callAdmin sends a request, given as "METHOD PATH", to the admin API.
 func callAdmin(t *testing.T, adminAddress, call string) *http1.Response {
 	t.Helper()
 	return nettest.Ask(t, nettest.Dial(t, adminAddress), call+" HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
-// readResponse reads one response, which must come.
+// readResponse reads one response and fails the test if that is impossible.
 func readResponse(t *testing.T, r *bufio.Reader) *http1.Response {
 	t.Helper()
 	a, err := http1.ReadResponse(r)
@@ -48,25 +48,26 @@
 	return a
 }
 
-// The metrics agree with what client and server saw of requests that were served, rejected, failed, retried
-// and abandoned.
+// TestMetricsMatchTraffic checks that the metrics agree with what client and server saw of requests that were
+// served, rejected, failed, retried and abandoned.
 func TestMetricsMatchTraffic(t *testing.T) {
-	answers := make(chan *http1.Response, 16)
-	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return <-answers }))
-	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, serverList("in_service", x))
+	responses := make(chan *http1.Response, 16)
+	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return <-responses }))
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address,
+		serverList("in_service", x))
 	vars := func() string { return string(callAdmin(t, adminAddress, "GET /_vars").Body) }
 	for _, line := range []string{"proxy.handled.lookup.passed:0|c", "proxy.handled.assign.bad_gateway:0|c",
 		"proxy.upstream_tries:0|c", "proxy.in_progress:0|g", "proxy.known_zone_servers:1|g",
 		"proxy.skipped_zone_servers:0|g"} {
 		if !strings.Contains(vars(), line+"\n") {
-			t.Errorf("at first no %s in\n%s", line, vars())
+			t.Errorf("before the first request, %s is missing in\n%s", line, vars())
 		}
 	}
 	c := nettest.Dial(t, p.address)
-	ask := func(method, class, id string, status int, answer ...*http1.Response) {
+	ask := func(method, class, id string, status int, scripted ...*http1.Response) {
 		t.Helper()
-		for _, a := range answer {
-			answers <- a
+		for _, a := range scripted {
+			responses <- a
 		}
 		if a := nettest.Ask(t, c, nettest.Request(method, class, id, 15*time.Second)); a.Status != status {
 			t.Errorf("%s: status %d", id, a.Status)
@@ -78,34 +79,38 @@
 	ask("POST", "assign", "3", 502, &http1.Response{Status: 500})
 	ask("PUT", "assign", "4", 405)
 	ask("POST", "assign", "5", 200, notRun, nettest.OK("c"))
-	gone := nettest.Dial(t, p.address)
-	io.WriteString(gone, nettest.Request("GET", "lookup", "6", 15*time.Second))
-	nettest.Until(t, "its attempt arrives", func() bool { return len(x.Received("/api")) == 6 })
-	nettest.Until(t, "one is in progress", func() bool { return strings.Contains(vars(), "in_progress:1|g") })
-	// It is sent before it is counted, so its count may be seen late.
+	abandoned := nettest.Dial(t, p.address)
+	io.WriteString(abandoned, nettest.Request("GET", "lookup", "6", 15*time.Second))
+	nettest.Until(t, "the attempt of request 6 arrives", func() bool { return len(x.Received("/api")) == 6 })
+	nettest.Until(t, "one request is in progress", func() bool {
+		return strings.Contains(vars(), "in_progress:1|g")
+	})
+	// An attempt is sent before it is counted, so the metric may lag behind the server.
 	nettest.Until(t, "six attempts are counted", func() bool {
 		return strings.Contains(vars(), "upstream_tries:6|c")
 	})
-	gone.Close()
-	nettest.Until(t, "none is in progress", func() bool { return strings.Contains(vars(), "in_progress:0|g") })
+	abandoned.Close()
+	nettest.Until(t, "no request is in progress", func() bool {
+		return strings.Contains(vars(), "in_progress:0|g")
+	})
 	for _, line := range []string{"proxy.handled.lookup.passed:1|c", "proxy.handled.lookup.bad_gateway:0|c",
 		"proxy.handled.assign.passed:2|c", "proxy.handled.assign.bad_gateway:2|c",
 		"proxy.handled.assign.dropped:0|c", "proxy.upstream_tries:6|c"} {
 		if !strings.Contains(vars(), line+"\n") {
-			t.Errorf("no %s in\n%s", line, vars())
+			t.Errorf("%s is missing in\n%s", line, vars())
 		}
 	}
 }
 
-// A lame duck call closes idle connections, while every request that arrives still gets its response. It can
-// be undone, and does not end the process.
+// TestLameDuck checks that the lame-duck call of the admin API closes idle connections while every request
+// that arrives still gets its response, that it can be undone, and that it does not end the process.
 func TestLameDuck(t *testing.T) {
 	t.Parallel()
-	answers := make(chan *http1.Response)
-	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return <-answers }))
-	// A connection that is opened during the drain stays open for long enough to send its request.
-	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, serverList("in_service", x),
-		"CRESSHUB_SHUTDOWN_ACCEPT_FOR=3s", "CRESSHUB_SHUTDOWN_CLOSE_ALL_AFTER=4s",
+	responses := make(chan *http1.Response)
+	x := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return <-responses }))
+	// With these times, a connection opened during the drain stays open long enough to send its request.
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address,
+		serverList("in_service", x), "CRESSHUB_SHUTDOWN_ACCEPT_FOR=3s", "CRESSHUB_SHUTDOWN_CLOSE_ALL_AFTER=4s",
 		"CRESSHUB_SHUTDOWN_CLOSE_HALF_AFTER=5s")
 	idle, busy := nettest.Dial(t, p.address), nettest.Dial(t, p.address)
 	nettest.Ask(t, idle, readinessRequest)
@@ -115,34 +120,36 @@
 		t.Fatalf("status %d", a.Status)
 	}
 	if a := nettest.Ask(t, nettest.Dial(t, p.address), readinessRequest); a.Status != 503 {
-		t.Errorf("ready says %d", a.Status)
+		t.Errorf("readiness status %d, want 503", a.Status)
 	}
 	late := nettest.Dial(t, p.address)
 	io.WriteString(late, nettest.Request("POST", "assign", "2", 15*time.Second))
-	nettest.Until(t, "a late one is served", func() bool { return len(x.Received("/api")) == 2 })
+	nettest.Until(t, "the request sent during the drain arrives", func() bool {
+		return len(x.Received("/api")) == 2
+	})
 	if _, err := idle.In.Peek(1); err != io.EOF {
 		t.Errorf("an idle connection ends with %v", err)
 	}
-	answers <- nettest.OK("")
-	answers <- nettest.OK("")
-	for _, c := range []*http1.Response{readResponse(t, busy.In), readResponse(t, late.In)} {
-		if c.Status != 200 || !c.Close {
-			t.Errorf("status %d, closes %v", c.Status, c.Close)
+	responses <- nettest.OK("")
+	responses <- nettest.OK("")
+	for _, a := range []*http1.Response{readResponse(t, busy.In), readResponse(t, late.In)} {
+		if a.Status != 200 || !a.Close {
+			t.Errorf("status %d, closes %v", a.Status, a.Close)
 		}
 	}
-	half := nettest.Dial(t, p.address)
-	io.WriteString(half, "GET /api HTTP/1.1\r\nHost: h\r\n")
-	if a := readResponse(t, half.In); a.Status != 503 || !a.Close {
-		t.Errorf("a head that never ends: status %d, closes %v", a.Status, a.Close)
+	partial := nettest.Dial(t, p.address)
+	io.WriteString(partial, "GET /api HTTP/1.1\r\nHost: h\r\n")
+	if a := readResponse(t, partial.In); a.Status != 503 || !a.Close {
+		t.Errorf("incomplete request head: status %d, closes %v", a.Status, a.Close)
 	}
 	fresh := nettest.Dial(t, p.address)
 	if _, err := fresh.In.Peek(1); err != io.EOF {
-		t.Errorf("an idle connection from after the call ends with %v", err)
+		t.Errorf("an idle connection opened during the drain ends with %v", err)
 	}
 	callAdmin(t, adminAddress, "POST /_lameduck/off")
 	c := nettest.Dial(t, p.address)
 	if a := nettest.Ask(t, c, readinessRequest); a.Status != 200 || a.Close {
-		t.Errorf("after the drain ready says %d, closes %v", a.Status, a.Close)
+		t.Errorf("readiness after the drain: status %d, closes %v", a.Status, a.Close)
 	}
 	callAdmin(t, adminAddress, "POST /_lameduck/on")
 	p.cmd.Process.Signal(syscall.SIGTERM)
@@ -153,19 +160,20 @@
 	}
 }
 
-// Over many handovers under load no connection is refused, reset or left unread, and every request gets
-// its response, both of clients that open a connection for each request and of clients that keep theirs.
-// On a busy machine some requests meet a delay, and the decisions may reject one in some thousands of
-// requests by chance: the process counts each of these, and there are few. A client that this machine stalls
-// for as long as a drain leaves idle connections open may find its own closed.
+// TestHandoversLoseNoConnection checks that over several handovers under load no connection is refused, reset
+// or left unread, and that every request gets its response, whether clients open a connection for each
+// request or keep one open. On a busy machine some requests are delayed, and the balancer may then reject one
+// in some thousands of requests at random: the test allows a few of these if the process has counted each. If
+// the machine stalls a client for as long as a drain leaves idle connections open, its connection may be
+// closed.
 func TestHandoversLoseNoConnection(t *testing.T) {
-	const closedIdle = 400 * time.Millisecond // less than shutdown.close_idle_after
+	const maySeeIdleClose = 400 * time.Millisecond // less than shutdown.close_idle_after
 	zone := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	list := nettest.NewDiscovery(t).Address
 	t.Setenv("TMPDIR", t.TempDir())
 	p, _ := startWithAdmin(t, "127.0.0.1:0", list, serverList("in_service", zone))
 	address, stop := p.address, make(chan struct{})
-	var served, refused atomic.Int64
+	var served, rejected atomic.Int64
 	var clients sync.WaitGroup
 	for n := range 4 {
 		clients.Go(func() {
@@ -197,13 +205,13 @@
 				case err == nil && a.Status == 200:
 					served.Add(1)
 				case err == nil && a.Status == 503 && a.Header.Get("Retry-After") != "":
-					refused.Add(1)
-				case err != nil && idle > closedIdle:
+					rejected.Add(1)
+				case err != nil && idle > maySeeIdleClose:
 					c.Close()
 					c = nil
 					continue
 				default:
-					t.Errorf("lost: %+v, %v", a, err) // rejected, reset, or closed as the request was sent
+					t.Errorf("request lost: %+v, %v", a, err) // rejected, reset, or closed while the request was sent
 					return
 				}
 				if a.Close || n%2 == 0 {
@@ -214,8 +222,8 @@
 			}
 		})
 	}
-	counted := int64(0)
-	end := func() {
+	countedRejections := int64(0)
+	terminate := func() {
 		t.Helper()
 		p.cmd.Process.Signal(syscall.SIGTERM)
 		line := p.waitForLog(t, "msg=counters")
@@ -228,28 +236,29 @@
 			!strings.Contains(line, "requests.failed=0 ") || !strings.Contains(line, "clients.rejected=0 ") {
 			t.Error(line, err)
 		}
-		counted += n
+		countedRejections += n
 	}
 	for range 4 {
 		next, adminAddress := startWithAdmin(t, address, list, serverList("in_service", zone))
 		p.waitForLog(t, "handover: new process takes over")
 		if a := callAdmin(t, adminAddress, "GET /_ready"); a.Status != 200 {
-			t.Errorf("the new one says %d", a.Status)
+			t.Errorf("readiness status of the new process: %d, want 200", a.Status)
 		}
-		end()
+		terminate()
 		p = next
 	}
 	close(stop)
 	clients.Wait()
-	end()
-	if served.Load() < 100 || refused.Load() != counted || refused.Load()*200 > served.Load() {
-		t.Errorf("%d served; %d refused, of which %d were counted", served.Load(), refused.Load(), counted)
+	terminate()
+	if served.Load() < 100 || rejected.Load() != countedRejections || rejected.Load()*200 > served.Load() {
+		t.Errorf("%d served; clients saw %d rejections, the processes counted %d", served.Load(), rejected.Load(),
+			countedRejections)
 	}
 }
 
-// Requests are still served when the new process of a handover hangs, when it is killed before it is
-// ready, when the old one ends before the new one is ready, and when a new one finds the socket file of a
-// killed one.
+// TestFailedHandovers checks that requests are still served when the new process of a handover hangs, when it
+// is killed before it is ready, when the old process exits before the new one is ready, and when a new
+// process finds the socket file of a killed one.
 func TestFailedHandovers(t *testing.T) {
 	zone := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	list := nettest.NewDiscovery(t).Address
@@ -264,27 +273,28 @@
 	}
 	config := strings.Replace(platformConfig(list, "null", 200), `"listen":"127.0.0.1:0"`,
 		`"listen":"`+first.address+`"`, 1)
-	killed := startWithoutWaiting(t, config) // which knows no server but from the old one
+	killed := startWithoutWaiting(t, config) // it gets its list of servers only from the old process
 	first.waitForLog(t, "handover: new process takes over")
 	killed.cmd.Process.Signal(syscall.SIGSTOP)
-	served("beside a new one that hangs")
+	served("while the new process hangs")
 	killed.cmd.Process.Kill()
 	first.waitForLog(t, "handover: new process ended")
-	served("after a killed new one")
+	served("after the new process was killed")
 
-	callAdmin(t, adminAddress, "POST /_lameduck/on") // a drain during the handover is that of the old one only
+	callAdmin(t, adminAddress, "POST /_lameduck/on") // a drain during the handover affects only the old process
 	second := startWithoutWaiting(t, config)
 	first.waitForLog(t, "handover: new process takes over")
 	first.cmd.Process.Signal(syscall.SIGTERM)
 	second.waitForLog(t, "msg=ready")
-	served("after the end of the old one")
+	served("after the old process exited")
 	if err := first.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 
 	second.cmd.Process.Kill()
 	second.cmd.Wait()
-	third := startWithoutWaiting(t, strings.Replace(config, `"known":null`, `"known":`+serverList("in_service", zone), 1))
+	third := startWithoutWaiting(t, strings.Replace(config, `"known":null`,
+		`"known":`+serverList("in_service", zone), 1))
 	third.waitForLog(t, "msg=ready")
-	served("after a socket file that a killed process left")
+	served("after a killed process left its socket file")
 }
--- a/cmd/cresshub/settings_test.go
+++ b/cmd/cresshub/settings_test.go
@@ -12,9 +12,10 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// other is a configuration of another deployment: the names mean the opposite, and the limits differ.
-func otherDeploymentConfig(discovery, known string) string {
-	text := platformConfig(discovery, known, 200)
+// otherDeploymentConfig returns the configuration of another deployment: the effects of the two classes are
+// swapped, and max-attempts, the tenant and the zone differ.
+func otherDeploymentConfig(discovery, servers string) string {
+	text := platformConfig(discovery, servers, 200)
 	for _, change := range [][2]string{{`"effect":"idempotent"`, `"effect":"x"`},
 		{`"effect":"at_most_once"`, `"effect":"idempotent"`}, {`"effect":"x"`, `"effect":"at_most_once"`},
 		{`"max-attempts":3`, `"max-attempts":2`}, {`"name":"acme"`, `"name":"emca"`}, {`["kita"]`, `["minami"]`}} {
@@ -23,17 +24,18 @@
 	return text
 }
 
-// Two deployments side by side, in processes that share a folder, and one after the other at one address:
-// what may run again, how often it is tried and whose tenant it is comes from each one's own settings,
-// whatever the method or the name of a class suggests.
+// TestDeploymentsKeepTheirOwnSettings runs two deployments at the same time, in processes that share a
+// directory, and then restarts each at the other's address. Whether a request is retried, how often, and
+// which tenants are known must come from the settings of its own deployment, whatever the method or the name
+// of a class suggests.
 func TestDeploymentsKeepTheirOwnSettings(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	breaks := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.CloseConn })
-	// what each request gets: status and how often it was sent
-	ask := func(p *process, zones []*nettest.ScriptedServer, method, class, tenant string) string {
+	closeConn := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.CloseConn })
+	// ask sends a request and returns the status of the response and the number of attempts.
+	ask := func(p *process, servers []*nettest.ScriptedServer, method, class, tenant string) string {
 		count := func() (n int) {
-			for _, z := range zones {
-				n += len(z.Received("/api"))
+			for _, s := range servers {
+				n += len(s.Received("/api"))
 			}
 			return n
 		}
@@ -47,41 +49,45 @@
 		_, p.address, _ = strings.Cut(p.waitForLog(t, "msg=ready"), "listen=")
 		return p
 	}
-	var zones [2][]*nettest.ScriptedServer
-	for i := range zones {
+	var servers [2][]*nettest.ScriptedServer
+	for i := range servers {
 		for range 4 {
-			zones[i] = append(zones[i], nettest.Serve(t, breaks))
+			servers[i] = append(servers[i], nettest.Serve(t, closeConn))
 		}
 	}
-	at := func(text, address string) string { return strings.Replace(text, "127.0.0.1:0", address, 1) }
-	one := begin(at(platformConfig(nettest.NewDiscovery(t).Address, serverList("in_service", zones[0]...), 200),
-		reservedHost+":0"))
-	two := begin(at(otherDeploymentConfig(nettest.NewDiscovery(t).Address, serverList("in_service", zones[1]...)), reservedHost+":0"))
+	listenAt := func(text, address string) string { return strings.Replace(text, "127.0.0.1:0", address, 1) }
+	one := begin(listenAt(platformConfig(nettest.NewDiscovery(t).Address,
+		serverList("in_service", servers[0]...), 200), reservedHost+":0"))
+	two := begin(listenAt(otherDeploymentConfig(nettest.NewDiscovery(t).Address,
+		serverList("in_service", servers[1]...)), reservedHost+":0"))
 	for range 2 {
 		got := []string{
-			ask(one, zones[0], "GET", "lookup", "acme"), ask(two, zones[1], "GET", "lookup", "emca"),
-			ask(one, zones[0], "GET", "assign", "acme"), ask(two, zones[1], "POST", "assign", "emca"),
-			ask(one, zones[0], "GET", "lookup", "emca"), ask(two, zones[1], "GET", "lookup", "acme"),
+			ask(one, servers[0], "GET", "lookup", "acme"), ask(two, servers[1], "GET", "lookup", "emca"),
+			ask(one, servers[0], "GET", "assign", "acme"), ask(two, servers[1], "POST", "assign", "emca"),
+			ask(one, servers[0], "GET", "lookup", "emca"), ask(two, servers[1], "GET", "lookup", "acme"),
 		}
 		want := []string{"503 3", "502 1", "502 1", "503 2", "400 0", "400 0"}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
-		one.cmd.Process.Kill() // and once more, with the other one's address for the new one
+		one.cmd.Process.Kill() // restart both, each at the address of the other
 		one.cmd.Wait()
 		two.cmd.Process.Kill()
 		two.cmd.Wait()
 		x, y := one.address, two.address
-		one = begin(at(platformConfig(nettest.NewDiscovery(t).Address, serverList("in_service", zones[0]...), 200), y))
-		two = begin(at(otherDeploymentConfig(nettest.NewDiscovery(t).Address, serverList("in_service", zones[1]...)), x))
+		one = begin(listenAt(platformConfig(nettest.NewDiscovery(t).Address,
+			serverList("in_service", servers[0]...), 200), y))
+		two = begin(listenAt(otherDeploymentConfig(nettest.NewDiscovery(t).Address,
+			serverList("in_service", servers[1]...)), x))
 	}
 }
 
-// A new process that takes an address over follows another discovery: the old one's list is not its own.
+// TestHandoverFromAnotherDiscovery checks that a new process that takes over an address, but uses another
+// discovery service, does not adopt the old process's list of servers.
 func TestHandoverFromAnotherDiscovery(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	work := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
-	x, y := nettest.Serve(t, work), nettest.Serve(t, work)
+	handler := nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") })
+	x, y := nettest.Serve(t, handler), nettest.Serve(t, handler)
 	old := start(t, nettest.NewDiscovery(t).Address, serverList("in_service", x), 200)
 	next := otherDeploymentConfig(nettest.NewDiscovery(t).Address, serverList("in_service", y))
 	startWithoutWaiting(t, strings.Replace(next, "127.0.0.1:0", old.address, 1)).waitForLog(t, "msg=ready")
