--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -65,13 +65,13 @@
 }
 
 // BenchmarkRequest measures the cost of a request sent directly to the server, through a net/http
-// ReverseProxy, and through a cresshub proxy in this process (ingress, decide and upstream), with the request
+// ReverseProxy, and through a cresshub proxy in this process (ingress, dispatch and upstream), with the request
 // log off and on, and with the ledger on.
 func BenchmarkRequest(b *testing.B) {
-	zone := startFastServer(b)
-	b.Run("direct", func(b *testing.B) { sendRequests(b, zone.Address) })
+	upstream := startFastServer(b)
+	b.Run("direct", func(b *testing.B) { sendRequests(b, upstream.Address) })
 	b.Run("ReverseProxy", func(b *testing.B) {
-		target := &url.URL{Scheme: "http", Host: zone.Address}
+		target := &url.URL{Scheme: "http", Host: upstream.Address}
 		proxy := httputil.NewSingleHostReverseProxy(target)
 		proxy.Transport = &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +87,7 @@
 		{"cresshub", ""}, {"cresshub-log", "[log]\nrequests = true\nrequest_rate = 0.0\n"},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p, stop := runProxy(b, tomlConfig(zone)+c.set)
+			p, stop := runProxy(b, tomlConfig(upstream)+c.set)
 			sendRequests(b, p.Address())
 			stop()
 		})
@@ -103,7 +103,7 @@
 			if i == 0 {
 				text, bind = text+fmt.Sprintf("operator = %q\n", adminAddress), gossip
 			}
-			text += tomlConfig(zone) + fmt.Sprintf("[fleet]\nbind = %q\n", bind)
+			text += tomlConfig(upstream) + fmt.Sprintf("[fleet]\nbind = %q\n", bind)
 			if seeds != "" {
 				text += fmt.Sprintf("seeds = [%q]\n", seeds)
 			}
@@ -177,12 +177,12 @@
 	if binaries == "" {
 		b.Skip("BENCH_BINARIES lists no binary")
 	}
-	zone := startFastServer(b)
+	upstream := startFastServer(b)
 	for pair := range strings.SplitSeq(binaries, ",") {
 		name, path, _ := strings.Cut(pair, "=")
 		b.Run(name, func(b *testing.B) {
 			file := filepath.Join(b.TempDir(), "config.json")
-			text := platformConfig("127.0.0.1:1", serverList("in_service", zone), 200)
+			text := platformConfig("127.0.0.1:1", serverList("in_service", upstream), 200)
 			text = strings.Replace(text, `"memory_mb":64`, `"memory_mb":32`, 1)
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				b.Fatal(err)
@@ -191,17 +191,17 @@
 			p := startCommand(b, exec.Command(path), file, "EDGE_CONFIG="+file)
 			_, address, _ := strings.Cut(p.waitForLog(b, "msg=ready"), "listen=")
 			ready := time.Since(began)
-			idle := residentMB(b, p.cmd.Process.Pid)
+			idle := residentMiB(b, p.cmd.Process.Pid)
 			sendRequests(b, address)
 			b.ReportMetric(float64(ready.Microseconds())/1000, "start-ms")
 			b.ReportMetric(idle, "idle-MB")
-			b.ReportMetric(residentMB(b, p.cmd.Process.Pid), "loaded-MB")
+			b.ReportMetric(residentMiB(b, p.cmd.Process.Pid), "loaded-MB")
 		})
 	}
 }
 
-// residentMB returns a process's resident memory in MiB.
-func residentMB(b *testing.B, pid int) float64 {
+// residentMiB returns a process's resident memory in MiB.
+func residentMiB(b *testing.B, pid int) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/cresshub/bodies_test.go
+++ b/cmd/cresshub/bodies_test.go
@@ -236,12 +236,12 @@
 // beginning.
 func TestServerClosesDuringUpload(t *testing.T) {
 	attempts := make(chan bool, 9)
-	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
+	serverAddress := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		attempts <- true
 		io.CopyN(io.Discard, b, 100_000)
 		return true
 	})
-	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(zone), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(serverAddress), 200)
 	c := nettest.Dial(t, p.address)
 	go upload(c, "1", 30_000_000, 30_000_000)
 	a, err := http1.ReadResponse(c.In)
@@ -255,13 +255,13 @@
 // because otherwise there would be no attempt.
 func TestClientStopsDuringUpload(t *testing.T) {
 	began, ended := make(chan bool, 1), make(chan error, 1)
-	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
+	serverAddress := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		began <- true
 		_, _, err := readChecksum(b)
 		ended <- err
 		return true
 	})
-	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(zone), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(serverAddress), 200)
 	for _, framing := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
 		c := nettest.Dial(t, p.address)
 		text := strings.Replace(largeRequestHead("POST", "assign", framing, "size=0", time.Minute), "\r\n\r\n",
@@ -297,7 +297,7 @@
 // whose head was already forwarded, the client can tell with any framing that the response is incomplete, and
 // that the request counts as failed.
 func TestServerClosesDuringResponse(t *testing.T) {
-	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
+	serverAddress := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		framing, text := "Content-Length: 300000", strings.Repeat("x", 100_000)
 		if strings.Contains(q.Target, "chunked") {
 			framing, text = "Transfer-Encoding: chunked", "186a0\r\n"+text+"\r\n"
@@ -305,7 +305,8 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n"+text)
 		return true
 	})
-	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address, singleServerList(zone))
+	p, adminAddress := startWithAdmin(t, "127.0.0.1:0", nettest.NewDiscovery(t).Address,
+		singleServerList(serverAddress))
 	for _, query := range []string{"whole", "chunked", "chunked&old"} {
 		c := nettest.Dial(t, p.address)
 		text := largeRequestHead("POST", "assign", query, query, 15*time.Second)
@@ -330,7 +331,7 @@
 // as soon as it arrives.
 func TestStreamingResponseIsNotDelayed(t *testing.T) {
 	next := make(chan bool)
-	zone := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
+	serverAddress := startLargeBodyServer(t, func(q *http1.Request, b *http1.Body, c *connbuffer.Conn) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 3 {
 			io.WriteString(c, "5\r\npiece\r\n")
@@ -339,7 +340,7 @@
 		io.WriteString(c, "0\r\n\r\n")
 		return true
 	})
-	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(zone), 200)
+	p := start(t, nettest.NewDiscovery(t).Address, singleServerList(serverAddress), 200)
 	c := nettest.Dial(t, p.address)
 	io.WriteString(c, largeRequestHead("GET", "lookup", "1", "", 15*time.Second))
 	_, b, err := http1.ReadResponseHead(c.In, "GET")
--- a/cmd/cresshub/operations_test.go
+++ b/cmd/cresshub/operations_test.go
@@ -168,10 +168,10 @@
 // closed.
 func TestHandoversLoseNoConnection(t *testing.T) {
 	const maySeeIdleClose = 400 * time.Millisecond // less than shutdown.close_idle_after
-	zone := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
+	server := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	list := nettest.NewDiscovery(t).Address
 	t.Setenv("TMPDIR", t.TempDir())
-	p, _ := startWithAdmin(t, "127.0.0.1:0", list, serverList("in_service", zone))
+	p, _ := startWithAdmin(t, "127.0.0.1:0", list, serverList("in_service", server))
 	address, stop := p.address, make(chan struct{})
 	var served, rejected atomic.Int64
 	var clients sync.WaitGroup
@@ -239,7 +239,7 @@
 		countedRejections += n
 	}
 	for range 4 {
-		next, adminAddress := startWithAdmin(t, address, list, serverList("in_service", zone))
+		next, adminAddress := startWithAdmin(t, address, list, serverList("in_service", server))
 		p.waitForLog(t, "handover: new process takes over")
 		if a := callAdmin(t, adminAddress, "GET /_ready"); a.Status != 200 {
 			t.Errorf("readiness status of the new process: %d, want 200", a.Status)
@@ -260,10 +260,10 @@
 // is killed before it is ready, when the old process exits before the new one is ready, and when a new
 // process finds the socket file of a killed one.
 func TestFailedHandovers(t *testing.T) {
-	zone := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
+	server := nettest.Serve(t, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("") }))
 	list := nettest.NewDiscovery(t).Address
 	t.Setenv("TMPDIR", t.TempDir())
-	first, adminAddress := startWithAdmin(t, reservedHost+":0", list, serverList("in_service", zone))
+	first, adminAddress := startWithAdmin(t, reservedHost+":0", list, serverList("in_service", server))
 	served := func(id string) {
 		t.Helper()
 		a := nettest.Ask(t, nettest.Dial(t, first.address), nettest.Request("GET", "lookup", id, 15*time.Second))
@@ -294,7 +294,7 @@
 	second.cmd.Process.Kill()
 	second.cmd.Wait()
 	third := startWithoutWaiting(t, strings.Replace(config, `"known":null`,
-		`"known":`+serverList("in_service", zone), 1))
+		`"known":`+serverList("in_service", server), 1))
 	third.waitForLog(t, "msg=ready")
 	served("after a killed process left its socket file")
 }
