--- a/cmd/cresshub-simhost/main_test.go
+++ b/cmd/cresshub-simhost/main_test.go
@@ -10,14 +10,15 @@
 	"testing"
 )
 
-const empty = `{"sim-time-ms":1,"n":1,"happened":[]}` + "\n"
+// emptyBatch is a batch without events.
+const emptyBatch = `{"sim-time-ms":1,"n":1,"happened":[]}` + "\n"
 
 func TestServe(t *testing.T) {
 	for name, c := range map[string]struct {
 		in, out string
 		fails   bool
 	}{
-		"end between batches": {empty, `{"actions":[],"n":1}` + "\n", false},
+		"end between batches": {emptyBatch, `{"actions":[],"n":1}` + "\n", false},
 		"no input":            {"", "", false},
 		"end inside a line":   {`{"sim-time-ms":1,"n":1,"happ`, "", true},
 		"bad line":            {"{}\n", "", true},
@@ -30,9 +31,9 @@
 	}
 }
 
-// Lines shorter and longer than the buffer come whole and in order, and the rest without an end comes with
-// io.EOF.
-func TestLinesOfAnyLength(t *testing.T) {
+// TestLineReaderReturnsWholeLines checks that lines shorter and longer than the buffer are returned whole and
+// in order, and that a last line without a newline is returned together with io.EOF.
+func TestLineReaderReturnsWholeLines(t *testing.T) {
 	want := []string{"short\n", strings.Repeat("long", 20) + "\n", "\n", strings.Repeat("longer", 40) + "\n",
 		"rest"}
 	lines := &lineReader{in: bufio.NewReaderSize(strings.NewReader(strings.Join(want, "")), 16)}
@@ -48,6 +49,6 @@
 		}
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("%q, not %q", got, want)
+		t.Errorf("lines %q, want %q", got, want)
 	}
 }
--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -24,11 +24,12 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// The benchmarks drive requests over real loopback sockets, one after the other on kept connections, to a
-// server that answers at once. What client and server cost is the same beside each rival of a run.
+// The benchmarks send requests over real loopback sockets to a server that responds at once. Each connection
+// stays open and carries one request at a time. The cost of client and server is the same for each
+// alternative of a run.
 
-// drive sends b.N requests and reads their answers.
-func drive(b *testing.B, address string) {
+// sendRequests sends b.N requests and reads their responses.
+func sendRequests(b *testing.B, address string) {
 	b.Helper()
 	var ids atomic.Int64
 	b.ReportAllocs()
@@ -57,19 +58,20 @@
 	b.StopTimer()
 }
 
-func quickZone(b *testing.B) *nettest.ScriptedServer {
+// startFastServer starts a server that responds at once.
+func startFastServer(b *testing.B) *nettest.ScriptedServer {
 	b.Helper()
 	return nettest.Serve(b, nettest.Zone(func(*http1.Request) *http1.Response { return nettest.OK("done\n") }))
 }
 
-// BenchmarkRequest is what a request costs directly, through a front of net/http's ReverseProxy, and
-// through ingress, decide and upstream in this process: with the log of requests off and on, and with the
-// ledger on.
+// BenchmarkRequest measures the cost of a request sent directly to the server, through a net/http
+// ReverseProxy, and through a cresshub proxy in this process (ingress, dispatch and upstream), with the request
+// log off and on, and with the ledger on.
 func BenchmarkRequest(b *testing.B) {
-	zone := quickZone(b)
-	b.Run("direct", func(b *testing.B) { drive(b, zone.Address) })
+	upstream := startFastServer(b)
+	b.Run("direct", func(b *testing.B) { sendRequests(b, upstream.Address) })
 	b.Run("ReverseProxy", func(b *testing.B) {
-		target := &url.URL{Scheme: "http", Host: zone.Address}
+		target := &url.URL{Scheme: "http", Host: upstream.Address}
 		proxy := httputil.NewSingleHostReverseProxy(target)
 		proxy.Transport = &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,20 +81,21 @@
 		server := &http.Server{Handler: proxy}
 		go server.Serve(l)
 		defer server.Close()
-		drive(b, l.Addr().String())
+		sendRequests(b, l.Addr().String())
 	})
 	for _, c := range []struct{ name, set string }{
 		{"cresshub", ""}, {"cresshub-log", "[log]\nrequests = true\nrequest_rate = 0.0\n"},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p, end := proxy(b, own(zone)+c.set)
-			drive(b, p.Address())
-			end()
+			p, stop := runProxy(b, tomlConfig(upstream)+c.set)
+			sendRequests(b, p.Address())
+			stop()
 		})
 	}
-	// The ledger on, with all three of its replicas in this process: what the other two cost is in it too.
+	// With the ledger on, all three of its replicas run in this process, so the result includes the cost of the
+	// other two.
 	b.Run("cresshub-ledger", func(b *testing.B) {
-		gossip, adminAddress := free(b), free(b)
+		gossip, adminAddress := unusedAddress(b), unusedAddress(b)
 		var first *daemon.Proxy
 		for i, seeds := range []string{"", gossip, gossip} {
 			text := fmt.Sprintf("name = \"m-%d\"\n", i)
@@ -100,18 +103,18 @@
 			if i == 0 {
 				text, bind = text+fmt.Sprintf("operator = %q\n", adminAddress), gossip
 			}
-			text += own(zone) + fmt.Sprintf("[fleet]\nbind = %q\n", bind)
+			text += tomlConfig(upstream) + fmt.Sprintf("[fleet]\nbind = %q\n", bind)
 			if seeds != "" {
 				text += fmt.Sprintf("seeds = [%q]\n", seeds)
 			}
 			text += fmt.Sprintf("[ledger]\nbind = \"127.0.0.1:0\"\ndata = %q\n", b.TempDir())
-			p, end := proxy(b, text)
-			defer end()
+			p, stop := runProxy(b, text)
+			defer stop()
 			if first == nil {
 				first = p
 			}
 		}
-		for begun := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+		for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 			var page daemon.LedgerPage
 			a, err := http.Get("http://" + adminAddress + "/_ledger")
 			if err == nil {
@@ -121,16 +124,16 @@
 			if err == nil && len(page.Group.Voters) == 3 && page.Ledger != nil {
 				break
 			}
-			if time.Since(begun) > time.Minute {
-				b.Fatalf("the group has not formed: %+v (%v)", page, err)
+			if time.Since(began) > time.Minute {
+				b.Fatalf("the ledger group has not formed within a minute: %+v (%v)", page, err)
 			}
 		}
-		drive(b, first.Address())
+		sendRequests(b, first.Address())
 	})
 }
 
-// free is an address that nobody listens at now.
-func free(b *testing.B) string {
+// unusedAddress returns a loopback address that no process listens on at the time of the call.
+func unusedAddress(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -140,8 +143,8 @@
 	return l.Addr().String()
 }
 
-// proxy runs a proxy in this process with a configuration; end ends it as SIGINT does.
-func proxy(b *testing.B, text string) (p *daemon.Proxy, end func()) {
+// runProxy runs a proxy in this process with the text of a TOML configuration; stop ends it as SIGINT does.
+func runProxy(b *testing.B, text string) (p *daemon.Proxy, stop func()) {
 	b.Helper()
 	file := filepath.Join(b.TempDir(), "c.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -166,39 +169,39 @@
 	}
 }
 
-// BenchmarkProcess compares binaries as the platform starts them: BENCH_BINARIES names some as
-// name=path,name=path. Beside the cost of a request it tells the time from the start to readiness and the
-// resident memory before and after the load.
+// BenchmarkProcess compares binaries, started as the platform starts them. BENCH_BINARIES lists them as
+// name=path,name=path. In addition to the cost of a request it reports the time from the start to readiness,
+// and the resident memory before and after the load.
 func BenchmarkProcess(b *testing.B) {
 	binaries := os.Getenv("BENCH_BINARIES")
 	if binaries == "" {
-		b.Skip("BENCH_BINARIES names none")
+		b.Skip("BENCH_BINARIES lists no binary")
 	}
-	zone := quickZone(b)
+	upstream := startFastServer(b)
 	for pair := range strings.SplitSeq(binaries, ",") {
 		name, path, _ := strings.Cut(pair, "=")
 		b.Run(name, func(b *testing.B) {
 			file := filepath.Join(b.TempDir(), "config.json")
-			text := configuration("127.0.0.1:1", known("in_service", zone), 200)
+			text := platformConfig("127.0.0.1:1", serverList("in_service", upstream), 200)
 			text = strings.Replace(text, `"memory_mb":64`, `"memory_mb":32`, 1)
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				b.Fatal(err)
 			}
 			began := time.Now()
-			p := spawn(b, exec.Command(path), file, "EDGE_CONFIG="+file)
-			_, address, _ := strings.Cut(p.expect(b, "msg=ready"), "listen=")
+			p := startCommand(b, exec.Command(path), file, "EDGE_CONFIG="+file)
+			_, address, _ := strings.Cut(p.waitForLog(b, "msg=ready"), "listen=")
 			ready := time.Since(began)
-			idle := resident(b, p.cmd.Process.Pid)
-			drive(b, address)
+			idle := residentMiB(b, p.cmd.Process.Pid)
+			sendRequests(b, address)
 			b.ReportMetric(float64(ready.Microseconds())/1000, "start-ms")
 			b.ReportMetric(idle, "idle-MB")
-			b.ReportMetric(resident(b, p.cmd.Process.Pid), "loaded-MB")
+			b.ReportMetric(residentMiB(b, p.cmd.Process.Pid), "loaded-MB")
 		})
 	}
 }
 
-// resident is a process's resident memory in MB.
-func resident(b *testing.B, pid int) float64 {
+// residentMiB returns a process's resident memory in MiB.
+func residentMiB(b *testing.B, pid int) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
