--- a/internal/router/chain/plan_members.go
+++ b/internal/router/chain/plan_members.go
@@ -49,10 +49,10 @@
 }
 
 // indexReplacedBy returns the index of the member that a candidate replaces. A member at the candidate's own
-// address that was not seen since the candidate first was is replaced at once. Otherwise it is the member
-// that has been unavailable for longest, or a draining one. In both of these cases the candidate must have
-// been seen after the member became replaceable, as the disk of a candidate that is no longer seen may be
-// lost.
+// address that was not seen since the candidate's messages began to arrive without a gap is replaced at once.
+// Otherwise it is the member that has been unavailable for longest, or a draining one. In these last two
+// cases the candidate must have been seen after the member became replaceable, as the disk of a candidate
+// that is no longer seen may be lost.
 func (p *planner) indexReplacedBy(candidate PeerObservation) (int, bool) {
 	if index, ok := p.indexOfSameMachine(candidate); ok {
 		return index, true
