--- a/internal/router/scheduler/prefix_affinity_test.go
+++ b/internal/router/scheduler/prefix_affinity_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestBrieflyBusyServersKeepTheirPrompt: a prompt goes to the two servers that have cached its prefix unless
-// the queues there are much longer than elsewhere. A prefill at a third server would be repeated by every
-// proxy that does not know of it.
+// TestBrieflyBusyServersKeepTheirPrompt: a prompt goes to the two servers that rank first for its prefix even
+// if the queues there are longer than elsewhere. A prefill at a third server would be repeated by every proxy
+// that does not know of it.
 func TestBrieflyBusyServersKeepTheirPrompt(t *testing.T) {
 	r := promptRequest("a", 1)
 	order := rankedPrefillServers(warmScheduler(1, 7, 11), r)
