--- a/balance/probes.go
+++ b/balance/probes.go
@@ -118,7 +118,7 @@
 		}
 	} else {
 		if p.Result == TimedOut {
-			p.Result = ConnRefused // probes don't wait in a queue, so a server that does not answer is unreachable
+			p.Result = ConnRefused // probes aren't expected to queue, so the server counts as unreachable
 		}
 		b.recordHealth(now, s, p.Result)
 	}
