--- a/internal/router/agent/role_assigner.go
+++ b/internal/router/agent/role_assigner.go
@@ -170,7 +170,7 @@
 }
 
 // assignableServers returns the ready servers of a service that have a role, and their addresses by id. A
-// server that is carrying out an order counts with its new role, and as changing.
+// server for which an order is in force counts with the role that the order gives it, and as changing.
 func (r *roleAssigner) assignableServers(service string) (servers []roleplan.Server,
 	addresses map[string]string) {
 	addresses = map[string]string{}
