--- a/internal/router/dataplane/kvhandle.go
+++ b/internal/router/dataplane/kvhandle.go
@@ -103,7 +103,7 @@
 	}()
 }
 
-// delete makes the call that releases a handle. Its result is ignored: a handle that is not released expires.
+// delete makes the call that releases a handle. Nothing depends on its result, so errors are ignored.
 func (r *handleReleaser) delete(handle *kvHandle) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
