--- a/internal/router/peerproto/directory_messages.go
+++ b/internal/router/peerproto/directory_messages.go
@@ -14,7 +14,7 @@
 	Version int64  `avro:"version"` // of the configuration in force at the follower
 }
 
-// Feed is the next part of a hub's feed. Without records, it serves as a keep-alive.
+// Feed is the next part of a hub's feed. If it holds nothing new, it serves as a keep-alive.
 type Feed struct {
 	Feed    string             `avro:"feed"` // id of the hub whose feed it is
 	From    int64              `avro:"from"` // offset after which these changes follow, 0 for a snapshot
