--- a/internal/router/agent/failure_detector.go
+++ b/internal/router/agent/failure_detector.go
@@ -145,16 +145,16 @@
 	switch {
 	case record.Kind == directory.KindProxy:
 		return proxyTimeout
-	case f.lastSeen.wasRedirected(record.ID), f.causedFailover():
+	case f.lastSeen.wasRedirected(record.ID), f.mayHaveCausedFailover():
 		return f.unwatchedTimeout()
 	}
 	return time.Duration(maxMissedHeartbeats * float64(f.settings.HeartbeatInterval))
 }
 
-// causedFailover reports whether this process has recently stalled for so long that servers may have failed
-// over to other proxies, within the last unwatchedTimeout and minFailoverStall. Those proxies may have
-// stalled too.
-func (f *failureDetector) causedFailover() bool {
+// mayHaveCausedFailover reports whether servers may have failed over to other proxies, because this process
+// has stalled for minFailoverStall or longer within the last unwatchedTimeout plus minFailoverStall. Those
+// proxies may have stalled too.
+func (f *failureDetector) mayHaveCausedFailover() bool {
 	from := time.Now().Add(-f.unwatchedTimeout() - minFailoverStall)
 	return f.clock.StalledSince(from) >= minFailoverStall
 }
