--- a/internal/cluster/raftgroup/bootstrap.go
+++ b/internal/cluster/raftgroup/bootstrap.go
@@ -20,10 +20,10 @@
 )
 
 // bootstrap creates a group that no member has a replica of. Only the live member that ranks first for the
-// group does so, and only with the votes of a majority of all known members (or of BootstrapExpect members,
-// if that is more). A vote is stored and never given to another candidate, so that a group is bootstrapped
-// only once in a fleet. The group begins with this replica as its only one and accepts no proposals until it
-// has minVoters. Called by maintainGroups.
+// group does so, and only with the votes of a majority of all known members (a majority of BootstrapExpect,
+// if that is more than are known). A vote is stored and never given to another candidate, so that a group is
+// bootstrapped only once in a fleet. The group begins with this replica as its only one and accepts no
+// proposals until it has minVoters. Called by maintainGroups.
 func (h *Host) bootstrap(name string) {
 	h.mu.Lock()
 	peers, exists := slices.Clone(h.peers), h.groups[name] != nil
