--- a/internal/cluster/gossip/suspicion.go
+++ b/internal/cluster/gossip/suspicion.go
@@ -19,8 +19,8 @@
 // scheduleSuspectSyncs schedules an exchange of states with each suspect of the view, whichever member raised
 // the suspicion, after a random delay. By the exchange, this member learns of a refutation that gossip has
 // not delivered. In a small fleet, where gossip misses more, the exchange comes before a confirmed suspicion
-// ends; in a large fleet it comes later, so that not all members connect to one that has failed. f.mu is
-// held.
+// ends; in a large fleet it comes after that, so that not all members connect to one that has failed. f.mu
+// is held.
 func (f *Fleet) scheduleSuspectSyncs() {
 	now := f.now()
 	members := f.view.Snapshot()
