--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -48,9 +48,9 @@
 
 // Meta is the metadata that a member gossips about itself.
 type Meta struct {
-	// Incarnation is the wall clock time at which the process started, in milliseconds since 1970, so that it
-	// increases with every start under the same name. It tells a restart from a member that has been up all
-	// along.
+	// Incarnation is the wall clock time at which the process started, in milliseconds since 1970. If others
+	// know a higher one of an earlier start, it is raised above that. It increases with every start under the
+	// same name, and tells a restart from a member that has been up all along.
 	Incarnation uint64
 	Version     string // program version
 	Hall        string // failure domain
