--- a/internal/cluster/pending/recorder.go
+++ b/internal/cluster/pending/recorder.go
@@ -40,7 +40,7 @@
 	commitPollInterval = 5 * time.Millisecond
 )
 
-// Faults injects disk faults, for tests and experiments.
+// Faults injects disk faults, for tests and the lab.
 type Faults interface {
 	// Sync is called before each write of the outbox. If it returns an error, the write fails with that error.
 	Sync() error
@@ -58,7 +58,7 @@
 	// MaxQueuedBytes bounds the size of the queued batches, in encoded bytes; 64 MiB by default. Once it is
 	// reached, like maxQueuedBatches, usage stays in memory. Above zero.
 	MaxQueuedBytes int64
-	// Faults injects disk faults, for tests and experiments only. Nil, the default, injects none.
+	// Faults injects disk faults, only for tests and the lab. Nil, the default, injects none.
 	Faults Faults
 	// Log receives the log messages of the recorder. It must not be nil.
 	Log *slog.Logger
