--- a/internal/cluster/leaseholder/endpoints.go
+++ b/internal/cluster/leaseholder/endpoints.go
@@ -18,7 +18,7 @@
 type EndpointSource interface {
 	// Feed sets where the list comes from; it doesn't block.
 	Feed(Feed)
-	// LastSeen returns when the current watch last received data from discovery, the zero time for never.
+	// LastSeen returns when a watch last received a change or a heartbeat, the zero time for never.
 	LastSeen() time.Time
 	// Index returns discovery's version number of the current list, which rises with each change.
 	Index() int64
