--- a/internal/proxy/discovery/client.go
+++ b/internal/proxy/discovery/client.go
@@ -81,7 +81,7 @@
 	log             *slog.Logger
 	onTokenRejected func(token uint64, why string)
 	startTime       time.Time    // origin of lastReceived on the monotonic clock
-	lastReceived    atomic.Int64 // ns from startTime to the last document or heartbeat; 0 for never
+	lastReceived    atomic.Int64 // ns from startTime to the last change or heartbeat; 0 for never
 	deliverMu       sync.Mutex   // keeps documents in the same order in the table and at the sink
 
 	// Requests to Run, and the events of watches. Of several unread requests of a kind only the last counts.
@@ -156,7 +156,8 @@
 	requests <- last
 }
 
-// LastSeen returns when a watch last received a document or a heartbeat, or the zero time if none ever did.
+// LastSeen returns when a watch last received a change or a heartbeat, or the zero time if none ever did. A
+// full list that a watch requests first does not count.
 func (c *Client) LastSeen() time.Time {
 	if at := c.lastReceived.Load(); at != 0 {
 		return c.startTime.Add(time.Duration(at))
@@ -164,5 +165,5 @@
 	return time.Time{}
 }
 
-// markReceived records that a watch has received a document or a heartbeat now.
+// markReceived records that a watch has received a change or a heartbeat now.
 func (c *Client) markReceived() { c.lastReceived.Store(max(1, int64(time.Since(c.startTime)))) }
--- a/internal/proxy/discovery/run.go
+++ b/internal/proxy/discovery/run.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxQuickReopens is how many calls are made soon and without Follow after a watch has timed out. Calls that
-	// get no connection are not counted.
+	// maxQuickReopens is how many calls are made soon and without Follow after a watch has timed out. Calls
+	// whose dial times out are not counted.
 	maxQuickReopens = 2
 	// The delay before retry n, counted from 1, is random around retryBase<<min(n, maxRetryShift).
 	retryBase     = 200 * time.Millisecond
@@ -169,7 +169,7 @@
 
 // quickReopenDelay returns the delay before a watch is reopened after a timeout, or 0 if it is not reopened
 // for that reason. Changes that were missed may take effect before the next Follow, so if the first call
-// after the timeout fails it is retried once. Calls that get no connection, as during a partition, don't
+// after the timeout fails it is retried once. Calls whose dial times out, as during a partition, don't
 // count, because they cost the registry nothing.
 func (c *Client) quickReopenDelay(err error) time.Duration {
 	timedOut := errors.Is(err, errWatchTimeout) || errors.Is(err, os.ErrDeadlineExceeded)
