--- a/internal/router/cli/config.go
+++ b/internal/router/cli/config.go
@@ -20,7 +20,7 @@
 	JSON  bool   `help:"Print the configuration that results as JSON."`
 }
 
-// Run parses the files as the fleet itself does, and prints a summary or every fault.
+// Run parses the files as the fleet itself does, and prints a summary or every error.
 func (c *configCheckCommand) Run(out *output) error {
 	config, err := c.read()
 	if err != nil {
@@ -30,7 +30,7 @@
 		_, err := fmt.Fprintf(out.stdout, "%s\n", config.Raw())
 		return err
 	}
-	// If nobody reads it, the exit code still says that the configuration is valid.
+	// If the write fails, the exit code still reports that the configuration is valid.
 	_, _ = fmt.Fprintf(out.stdout, "version %d: %d routes, %d services, no mistakes\n", config.Version,
 		config.RouteCount(), len(config.Services))
 	return nil
@@ -71,26 +71,27 @@
 	}
 	config, err := fleetconfig.Parse(document)
 	if err != nil {
-		return fmt.Errorf("the configuration in force can't be read: %w", err)
+		return fmt.Errorf("parse the configuration in force: %w", err)
 	}
 	table := newTable("ROUTE", "HOST", "PREFIX", "KIND", "TIMEOUT", "ATTEMPTS", "SERVICES")
 	for _, route := range config.Routes() {
-		table.add(route.Name, route.Host, route.Prefix, kindOf(route), route.Timeout, route.MaxAttempts,
-			targetsOf(route))
+		table.add(route.Name, route.Host, route.Prefix, kindText(route), route.Timeout, route.MaxAttempts,
+			targetsText(route))
 	}
 	return table.printUnder(out.stdout, fmt.Sprintf("version %d: %d routes, %d services", config.Version,
 		config.RouteCount(), len(config.Services)))
 }
 
-func kindOf(route *fleetconfig.Route) string {
+// kindText describes the kind of a route.
+func kindText(route *fleetconfig.Route) string {
 	if route.Kind == fleetconfig.Stream && route.Resumable {
 		return "stream, resumable"
 	}
 	return string(route.Kind)
 }
 
-// targetsOf names the services of a route, with their weights in percent if there are several.
-func targetsOf(route *fleetconfig.Route) string {
+// targetsText lists the services of a route, with their weights in percent if there are several.
+func targetsText(route *fleetconfig.Route) string {
 	var names []string
 	for _, target := range route.Targets {
 		name := target.Service
--- a/internal/router/cli/control.go
+++ b/internal/router/cli/control.go
@@ -20,7 +20,7 @@
 	JSON    bool   `help:"Print the JSON document of the answer."`
 }
 
-// statusError reports a response with another status than 200.
+// statusError reports a response whose status is not 200.
 type statusError struct {
 	Address string
 	Status  int
@@ -49,9 +49,9 @@
 	return response.Body, nil
 }
 
-// show prints the document at a path of the control address as it is, or as the table that render makes of
-// it.
-func show[T any](out *output, flags *controlFlags, path string, render func(*T) *table) error {
+// printDocument fetches the document at a path of the control address. It prints the document unchanged with
+// --json, otherwise the table that render returns.
+func printDocument[T any](out *output, flags *controlFlags, path string, render func(*T) *table) error {
 	document, err := flags.fetch(path)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	}
 	var content T
 	if err := json.Unmarshal(document, &content); err != nil {
-		return fmt.Errorf("the answer of %s can't be read: %w; use the program of the same release",
+		return fmt.Errorf("decode the response of %s: %w; use a program of the same release as the process",
 			flags.Control, err)
 	}
 	return render(&content).print(out.stdout)
--- a/internal/router/cli/faultyrouter.go
+++ b/internal/router/cli/faultyrouter.go
@@ -11,7 +11,8 @@
 	"cresshub/internal/testbed/faultinject"
 )
 
-// faultyRouterCommand runs a process of the fleet with faults, which lines on standard input inject into it.
+// faultyRouterCommand runs a process of the fleet with fault injection. Commands on standard input, one per
+// line, control the faults.
 type faultyRouterCommand struct {
 	routerCommand
 	Fault []string `help:"Command that holds from the start; may be given several times." sep:"none"`
@@ -27,8 +28,8 @@
 	}
 	go func() {
 		if err := injector.Obey(os.Stdin); err != nil {
-			_, _ = fmt.Fprintf(out.stderr, "faults: %v\n", err) // the exit code says so too
-			// A trial whose faults aren't injected must not seem to pass.
+			_, _ = fmt.Fprintf(out.stderr, "faults: %v\n", err) // if the write fails, the exit code still reports it
+			// Without its faults, a trial must not appear to pass.
 			os.Exit(exitUsage)
 		}
 	}()
--- a/internal/router/cli/inspection_test.go
+++ b/internal/router/cli/inspection_test.go
@@ -16,8 +16,8 @@
 	"cresshub/internal/testbed/nettest"
 )
 
-// serveDocuments serves a document at each path until the test ends, as a process does, and returns the
-// address.
+// serveDocuments serves a document at each path until the test ends, as a control address does. It returns
+// the address.
 func serveDocuments(c *qt.C, documents map[string]string) string {
 	c.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,13 +40,13 @@
 }
 
 // run runs a command line and returns its exit code and output.
-func run(arguments ...string) (code int, out, problem string) {
+func run(arguments ...string) (code int, out, errorOutput string) {
 	var stdout, stderr bytes.Buffer
 	code = Main(arguments, &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
-// lines returns the lines of a printed table, with one space between words.
+// lines returns the lines of a text, with one space between words.
 func lines(text string) []string {
 	var all []string
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
@@ -133,12 +133,12 @@
 	_, out, _ = run("config", "check", base, "--patch", good, "--json")
 	c.Assert(out, qt.Matches, `(?s)\{"edition":8,.*\{"name":"three"\}\]\}\n`)
 	bad := writeFile(c, `{"edition":8,"withdraw":{"depots_list":["one"],"models":[]}}`)
-	code, _, problem := run("config", "check", base, "--patch", bad)
+	code, _, errorOutput := run("config", "check", base, "--patch", bad)
 	c.Assert(code, qt.Equals, 1)
-	c.Assert(problem, qt.Matches, `(?s).*withdraw.models: is not a known field; .*`)
+	c.Assert(errorOutput, qt.Matches, `(?s).*withdraw.models: is not a known field; .*`)
 	bad = writeFile(c, `{"edition":8,"withdraw":{"depots_list":["one"]}}`)
-	_, _, problem = run("config", "check", base, "--patch", bad)
-	c.Assert(problem, qt.Matches, `(?s).*"one" is named by route "r1"; withdraw or replace .*`)
+	_, _, errorOutput = run("config", "check", base, "--patch", bad)
+	c.Assert(errorOutput, qt.Matches, `(?s).*"one" is named by route "r1"; withdraw or replace .*`)
 }
 
 func TestLateResponsesAreExplained(t *testing.T) {
@@ -167,15 +167,15 @@
 
 func TestErrorsNameTheRemedy(t *testing.T) {
 	c := qt.New(t)
-	code, _, problem := run("members", "--control", serveDocuments(c, nil))
+	code, _, errorOutput := run("members", "--control", serveDocuments(c, nil))
 	c.Assert(code, qt.Equals, 1)
-	c.Assert(problem, qt.Matches, `.* answered 503: not now; ask another process with --control\n`)
+	c.Assert(errorOutput, qt.Matches, `.* answered 503: not now; ask another process with --control\n`)
 
-	code, _, problem = run("servers", "--control", nettest.RefusingAddress(t))
+	code, _, errorOutput = run("servers", "--control", nettest.RefusingAddress(t))
 	c.Assert(code, qt.Equals, 1)
-	c.Assert(problem, qt.Matches, `.*connection refused; check the address, or call another process\n`)
+	c.Assert(errorOutput, qt.Matches, `.*connection refused; check the address, or call another process\n`)
 
-	code, _, problem = run("servers")
+	code, _, errorOutput = run("servers")
 	c.Assert(code, qt.Equals, 2)
-	c.Assert(problem, qt.Matches, `(?s).*--control.*`)
+	c.Assert(errorOutput, qt.Matches, `(?s).*--control.*`)
 }
--- a/internal/router/cli/late.go
+++ b/internal/router/cli/late.go
@@ -9,7 +9,7 @@
 	"cresshub/internal/router/latereport"
 )
 
-// lateCommand explains why responses were late.
+// lateCommand explains from logs why responses of model services were late.
 type lateCommand struct {
 	Files []string `arg:"" help:"Logs of processes that ran with --log-level debug." type:"existingfile"`
 	JSON  bool     `help:"Print the summary as JSON."`
--- a/internal/router/cli/members.go
+++ b/internal/router/cli/members.go
@@ -3,7 +3,7 @@
 // membersCommand lists the processes of the fleet.
 type membersCommand struct{ controlFlags }
 
-// memberList is what the command uses of the response to GET /api/members.
+// memberList has the fields that the command uses of the response to GET /api/members.
 type memberList struct {
 	Members []member `json:"members"`
 }
@@ -33,7 +33,7 @@
 
 // Run prints a row for each process that the queried one knows.
 func (c *membersCommand) Run(out *output) error {
-	return show(out, &c.controlFlags, "/api/members", func(list *memberList) *table {
+	return printDocument(out, &c.controlFlags, "/api/members", func(list *memberList) *table {
 		names := map[string]string{}
 		for _, member := range list.Members {
 			names[member.ID] = member.Name
--- a/internal/router/cli/progress.go
+++ b/internal/router/cli/progress.go
@@ -22,7 +22,7 @@
 
 // progressLine shows the progress of a trial on one line of a terminal.
 type progressLine struct {
-	out   *os.File // nil if the output is no terminal
+	out   *os.File // nil if the output is not a terminal
 	total time.Duration
 }
 
@@ -63,5 +63,5 @@
 }
 
 func (l *progressLine) replace(text string) {
-	_, _ = io.WriteString(l.out, eraseLine+text) // a terminal that can't be written to shows no progress
+	_, _ = io.WriteString(l.out, eraseLine+text) // progress is optional, so a failed write is ignored
 }
--- a/internal/router/cli/reload.go
+++ b/internal/router/cli/reload.go
@@ -19,11 +19,11 @@
 	onError func(error)
 
 	lastModTime  time.Time // of the file when it was last read by poll
-	pendingReads int       // polls that still read the file although its modification time is the same
-	lastProblem  string    // of the last read, so that a lasting error is reported once
+	pendingReads int       // polls that still read the file although its modification time is unchanged
+	lastError    string    // of the last read, so that an error that persists is reported once
 }
 
-// readsAfterChange is how many polls after a change read the file again.
+// readsAfterChange is how many polls read the file again after its modification time has changed.
 const readsAfterChange = 2
 
 func newSettingsReloader(apply func(*agentsettings.Settings), onError func(error)) *settingsReloader {
@@ -49,13 +49,13 @@
 	settings, err := r.load()
 	if err != nil {
 		r.pendingReads = max(r.pendingReads, 1)
-		if r.lastProblem != err.Error() {
-			r.lastProblem = err.Error()
+		if r.lastError != err.Error() {
+			r.lastError = err.Error()
 			r.onError(err)
 		}
 		return
 	}
-	r.lastProblem = ""
+	r.lastError = ""
 	r.apply(settings)
 }
 
--- a/internal/router/cli/router.go
+++ b/internal/router/cli/router.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// garbagePercent, half of the runtime's default, keeps the heap small at the cost of processor time.
-	garbagePercent = 50
-	// memoryLimitFraction is the fraction of the process's memory from which on the runtime collects more often.
+	// gcPercent, half of the runtime's default, keeps the heap small at the cost of CPU time.
+	gcPercent = 50
+	// memoryLimitFraction is the soft memory limit of the Go runtime, as a fraction of the process's memory.
+	// Near the limit the runtime collects garbage more often.
 	memoryLimitFraction = 0.7
-	// reloadInterval is how often the settings file is polled, besides SIGHUP.
+	// reloadInterval is how often the settings file is polled. SIGHUP reloads it at once.
 	reloadInterval = time.Second
-	// logBufferBytes is how much of the log is buffered while nobody reads it; further lines are lost, and
-	// counted.
+	// logBufferBytes is how much of the log is buffered while its reader does not keep up; further lines are
+	// dropped and counted.
 	logBufferBytes = 64 << 10
-	// logFlushTimeout bounds how long the end of the process waits for the reader of the log.
+	// logFlushTimeout bounds how long an exiting process waits until its buffered log is written.
 	logFlushTimeout = 300 * time.Millisecond
 )
 
-// lostLinesRecord returns the line that replaces lost lines of the log.
+// lostLinesRecord returns the log line that takes the place of dropped lines and reports how many there were.
 func lostLinesRecord(lost int64) string {
 	const form = `{"level":"warn","lost":%d,"message":"log: lines are lost, nobody read them"}`
 	return fmt.Sprintf(form+"\n", lost)
@@ -46,13 +47,13 @@
 
 func noOptions(*agentsettings.Settings) []agent.Option { return nil }
 
-// serve runs a process until a signal ends it, with options that may depend on its settings.
+// serve runs a process until SIGTERM or SIGINT, with agent options that may depend on its settings.
 func (c *routerCommand) serve(out *output, agentOptions func(*agentsettings.Settings) []agent.Option) error {
 	settings, err := agentsettings.Load()
 	if err != nil {
 		return &exitError{exitSettings, err}
 	}
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryBytes)))
 	level, err := zerolog.ParseLevel(c.LogLevel)
 	if err != nil {
@@ -75,7 +76,7 @@
 // maxViolationsPerSecond bounds the lines that are logged for violated invariants.
 const maxViolationsPerSecond = 4
 
-// logViolations logs violations of invariants.
+// logViolations logs violations of invariants, at most maxViolationsPerSecond a second.
 func logViolations(log zerolog.Logger) {
 	limited := log.Sample(&zerolog.BurstSampler{Burst: maxViolationsPerSecond, Period: time.Second})
 	invariant.SetHandler(func(violation *invariant.ViolationError) {
@@ -83,7 +84,7 @@
 	})
 }
 
-// handleSignals applies changed settings, on SIGHUP and by polling, until the first other signal; it then
+// handleSignals reloads the settings on SIGHUP and when polling finds a change. At the first other signal it
 // closes stop and returns.
 func handleSignals(process *agent.Agent, signals <-chan os.Signal, stop chan<- struct{}) {
 	ticker := time.NewTicker(reloadInterval)
--- a/internal/router/cli/servers.go
+++ b/internal/router/cli/servers.go
@@ -1,9 +1,9 @@
 package cli
 
-// serversCommand lists the servers.
+// serversCommand lists the servers that the fleet knows.
 type serversCommand struct{ controlFlags }
 
-// serverList is what the command uses of the response to GET /api/servers.
+// serverList has the fields that the command uses of the response to GET /api/servers.
 type serverList struct {
 	Servers []server `json:"servers"`
 }
@@ -18,7 +18,7 @@
 	Slots      int    `json:"bays"`
 	State      string `json:"state"`
 	Role       string `json:"stage"`       // empty unless it is a model server
-	ChangingTo string `json:"changing_to"` // the role that it was ordered to, empty for none
+	ChangingTo string `json:"changing_to"` // the role that it was told to change to, empty for none
 }
 
 // role describes the role of a model server and its change.
@@ -42,7 +42,7 @@
 
 // Run prints a row for each server that the queried process knows.
 func (c *serversCommand) Run(out *output) error {
-	return show(out, &c.controlFlags, "/api/servers", func(list *serverList) *table {
+	return printDocument(out, &c.controlFlags, "/api/servers", func(list *serverList) *table {
 		table := newTable("ID", "SERVICE", "ADDRESS", "ZONE", "VERSION", "SLOTS", "STATE", "ROLE")
 		for _, server := range list.Servers {
 			table.add(server.ID, server.Service, server.Address, server.Zone, server.Version, server.Slots,
--- a/internal/router/cli/signals.go
+++ b/internal/router/cli/signals.go
@@ -6,12 +6,12 @@
 	"syscall"
 )
 
-// signalBuffer is how many signals are buffered until they are handled.
+// signalBuffer is the capacity of the channel of signals that are not yet handled.
 const signalBuffer = 16
 
 // listenForSignals returns the signals that a process of the fleet handles. It is called before anything
-// else, because a signal without a listener ends the process. SIGPIPE is ignored: that the reader of the log
-// has ended is no reason to end.
+// else, because a signal without a listener ends the process. SIGPIPE is ignored so that the process keeps
+// running after the reader of its log has exited.
 func listenForSignals() <-chan os.Signal {
 	signal.Ignore(syscall.SIGPIPE)
 	signals := make(chan os.Signal, signalBuffer)
--- a/internal/router/cli/signals_test.go
+++ b/internal/router/cli/signals_test.go
@@ -16,16 +16,16 @@
 	"cresshub/internal/router/agentsettings"
 )
 
-// TestHangupDuringStartIsSurvived: SIGHUP may arrive while a process is still reading its settings. The
-// settings are a pipe here, so that the process waits there until the signal has arrived.
-func TestHangupDuringStartIsSurvived(t *testing.T) {
+// TestSIGHUPDuringStartDoesNotEndTheProcess: SIGHUP may arrive while a process is still reading its settings.
+// The settings are a pipe here, so that the process waits there until the signal has arrived.
+func TestSIGHUPDuringStartDoesNotEndTheProcess(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "settings.json")
 	c.Assert(syscall.Mkfifo(path, 0o600), qt.IsNil)
 	command := exec.Command(os.Args[0], "router")
-	command.Env = append(os.Environ(), asProgram+"=1", agentsettings.PathVariable+"="+path)
-	var problem strings.Builder
-	command.Stderr = &problem
+	command.Env = append(os.Environ(), asProgramVariable+"=1", agentsettings.PathVariable+"="+path)
+	var stderr strings.Builder
+	command.Stderr = &stderr
 	c.Assert(command.Start(), qt.IsNil)
 	watchdog := time.AfterFunc(testTimeout, func() { command.Process.Kill() })
 	defer watchdog.Stop()
@@ -36,5 +36,5 @@
 	settings.Close()
 	command.Wait()
 	c.Assert(command.ProcessState.ExitCode(), qt.Equals, exitSettings, qt.Commentf("%v: %s",
-		command.ProcessState, problem.String()))
+		command.ProcessState, stderr.String()))
 }
--- a/internal/router/cli/soak.go
+++ b/internal/router/cli/soak.go
@@ -18,7 +18,7 @@
 	"cresshub/internal/testbed/routertrial"
 )
 
-// soakCommand runs small fleets on loopback, one after the other, under faults drawn by a seed.
+// soakCommand runs small fleets on loopback, one after the other, under random faults that a seed determines.
 type soakCommand struct {
 	Seeds   int      `help:"How many soaks, each with a seed of its own." default:"1"`
 	First   uint64   `help:"Seed of the first; the same seed draws the same faults." default:"1"`
@@ -32,22 +32,22 @@
 	Program string   `help:"Program that has the router role." hidden:""`
 }
 
-// soaksFailedError reports how many soaks broke rules, and how many could not be played to their end.
-type soaksFailedError struct{ broken, unplayed, total int }
+// soaksFailedError reports how many soaks violated rules, and how many did not run to their end.
+type soaksFailedError struct{ violating, incomplete, total int }
 
 func (e *soaksFailedError) Error() string {
 	var parts []string
-	if e.broken > 0 {
-		parts = append(parts, fmt.Sprintf("%d of %d soaks broke rules", e.broken, e.total))
+	if e.violating > 0 {
+		parts = append(parts, fmt.Sprintf("%d of %d soaks violated rules", e.violating, e.total))
 	}
-	if e.unplayed > 0 {
-		parts = append(parts, fmt.Sprintf("%d of %d could not be played to their end", e.unplayed, e.total))
+	if e.incomplete > 0 {
+		parts = append(parts, fmt.Sprintf("%d of %d did not run to their end", e.incomplete, e.total))
 	}
-	return strings.Join(parts, ", ") + "; play one again with --first SEED, --seeds 1 and --logs DIR"
+	return strings.Join(parts, ", ") + "; repeat one with --first SEED, --seeds 1 and --logs DIR"
 }
 
-// Run runs the soaks and prints the report of each. It fails if any could not be run to its end or broke
-// rules.
+// Run runs the soaks and prints the report of each. It returns an error if any soak did not run to its end or
+// violated rules.
 func (c *soakCommand) Run(out *output) error {
 	ctx, stop := signalContext()
 	defer stop()
@@ -66,15 +66,15 @@
 		}
 		switch {
 		case report != nil && report.Violations() > 0:
-			failed.broken++
+			failed.violating++
 		case err != nil:
-			failed.unplayed++
+			failed.incomplete++
 		}
 		if printErr := c.print(out.stdout, seed, report, err); printErr != nil {
 			return printErr
 		}
 	}
-	if failed.broken+failed.unplayed > 0 {
+	if failed.violating+failed.incomplete > 0 {
 		return &failed
 	}
 	return nil
@@ -100,17 +100,17 @@
 	return routertrial.Soak(ctx, options)
 }
 
-// print prints the report of a seed, nil if there is none, and the error of its run. As JSON it returns that
-// error too, which the document doesn't have.
+// print prints the report of a seed, which is nil if there is none, and the error of its run. The JSON
+// document does not contain that error, so with --json print returns it.
 func (c *soakCommand) print(out io.Writer, seed uint64, report *routertrial.SoakReport, runErr error) error {
 	switch {
 	case report == nil:
-		_, err := fmt.Fprintf(out, "seed %d: not played: %v\n", seed, runErr)
+		_, err := fmt.Fprintf(out, "seed %d: not run: %v\n", seed, runErr)
 		return err
 	case c.JSON:
 		return errors.Join(printSoakJSON(out, report), runErr)
 	case runErr == nil && report.Violations() == 0:
-		_, _ = io.WriteString(out, soakSummary(seed, report)) // if nobody reads it, the exit code still says so
+		_, _ = io.WriteString(out, soakSummary(seed, report)) // if the write fails, the exit code still reports it
 		return nil
 	}
 	return printFailedSoak(out, seed, report, runErr)
@@ -131,15 +131,15 @@
 	verdicts := &report.Verdicts
 	return fmt.Sprintf("seed %d: %.0f s, asked %d, served %d, rejected %d, failed %d; servers: %d marked lost, "+
 		"%d ejected, %d calls timed out; %s\n", seed, report.Seconds, total.Asked, total.Served(), total.Rejected,
-		total.Failed, verdicts.MarkedLost, verdicts.Ejected, verdicts.TimedOut, playedFaults(report))
+		total.Failed, verdicts.MarkedLost, verdicts.Ejected, verdicts.TimedOut, injectedFaults(report))
 }
 
-// printFailedSoak prints the summary, the events and the rules of a soak that broke rules, or whose run ended
-// with an error.
+// printFailedSoak prints the summary, the events and the rules of a soak that violated rules, or whose run
+// ended with an error.
 func printFailedSoak(out io.Writer, seed uint64, report *routertrial.SoakReport, runErr error) error {
 	text := bytes.NewBufferString(soakSummary(seed, report))
 	if runErr != nil {
-		fmt.Fprintf(text, "  not played to its end: %v\n", runErr)
+		fmt.Fprintf(text, "  did not run to its end: %v\n", runErr)
 	}
 	for _, event := range report.Events {
 		fmt.Fprintln(text, "  "+event)
@@ -151,11 +151,11 @@
 	return err
 }
 
-// playedFaults lists how often each fault was injected.
-func playedFaults(report *routertrial.SoakReport) string {
-	var played []string
+// injectedFaults lists how often each fault was injected.
+func injectedFaults(report *routertrial.SoakReport) string {
+	var counts []string
 	for _, name := range slices.Sorted(maps.Keys(report.Injected)) {
-		played = append(played, fmt.Sprintf("%s %d", name, report.Injected[name]))
+		counts = append(counts, fmt.Sprintf("%s %d", name, report.Injected[name]))
 	}
-	return strings.Join(played, ", ")
+	return strings.Join(counts, ", ")
 }
--- a/internal/router/cli/table.go
+++ b/internal/router/cli/table.go
@@ -10,7 +10,7 @@
 // columnGap is the number of spaces between two columns.
 const columnGap = 2
 
-// table is text in columns, which are aligned when it is printed.
+// table is text in columns, which are aligned when the table is printed.
 type table struct {
 	columns []string
 	rows    [][]string
--- a/internal/router/cli/trialreport.go
+++ b/internal/router/cli/trialreport.go
@@ -60,7 +60,7 @@
 	return table
 }
 
-// rulesTable has a row for each rule, with rows below for the details of each break.
+// rulesTable has a row for each rule, followed by rows with the details of its violations.
 func rulesTable(rules []routerstandin.Verdict) *table {
 	table := newTable("RULE", "STATE")
 	for _, rule := range rules {
--- a/internal/router/cli/trials.go
+++ b/internal/router/cli/trials.go
@@ -27,7 +27,7 @@
 // noFault is the value of --trouble for a trial without a fault.
 const noFault = "none"
 
-// trialVars are the names of faults for the tags of the flags.
+// trialVars returns the names of the faults, for use in the struct tags of the flags.
 func trialVars() kong.Vars {
 	return kong.Vars{
 		"troubles":    strings.Join(append([]string{noFault}, routertrial.Faults...), ","),
@@ -37,16 +37,17 @@
 
 // errInterrupted reports that a signal ended a trial.
 var errInterrupted = errors.New(
-	"interrupted; what was measured until then is shown; run it again without an interrupt")
+	"interrupted; results shown cover the time until then; run it again for complete results")
 
-// rulesBrokenError reports how often a trial broke rules.
-type rulesBrokenError struct{ breaks int }
+// ruleViolationsError reports how often a trial violated rules.
+type ruleViolationsError struct{ violations int }
 
-func (e *rulesBrokenError) Error() string {
-	return fmt.Sprintf("rules were broken %d times; see which above, and the logs with --log FILE", e.breaks)
+func (e *ruleViolationsError) Error() string {
+	return fmt.Sprintf("rules were broken %d times; the report above names them, --log FILE keeps the logs",
+		e.violations)
 }
 
-// signalContext returns a context that ends with the first signal to end the program.
+// signalContext returns a context that is canceled by the first SIGINT, SIGTERM or SIGHUP.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 }
--- a/internal/router/cli/trials_router_only.go
+++ b/internal/router/cli/trials_router_only.go
@@ -4,7 +4,7 @@
 
 import "github.com/alecthomas/kong"
 
-// trialCommands are left out of a program for the router alone.
+// trialCommands is empty in a program that is built with the tag router_only.
 type trialCommands struct{}
 
 func trialVars() kong.Vars { return kong.Vars{} }
--- a/internal/router/cli/try.go
+++ b/internal/router/cli/try.go
@@ -12,14 +12,14 @@
 	"cresshub/internal/testbed/routertrial"
 )
 
-// The bounds of the flags.
+// Bounds of the values of --seconds and --rate.
 const (
 	minTrySeconds = 1
 	maxTrySeconds = 600
 	maxTryRate    = 500
 )
 
-// tryCommand runs a small fleet on loopback for some seconds, with a fault if one is wanted.
+// tryCommand runs a small fleet on loopback for some seconds, with at most one fault.
 type tryCommand struct {
 	Fault string `name:"trouble" help:"What happens in the middle: ${enum}." enum:"${troubles}" default:"none"`
 
@@ -31,7 +31,8 @@
 	Program string  `help:"Program that has the router role." hidden:""`
 }
 
-// Run runs the trial and prints its report. It fails if the trial could not be run to its end or broke rules.
+// Run runs the trial and prints its report. It returns an error if the trial did not run to its end
+// or violated rules.
 func (c *tryCommand) Run(out *output) error {
 	options, err := c.options()
 	if err != nil {
@@ -62,10 +63,10 @@
 	return trialError(report, err)
 }
 
-// trialError returns why a trial failed, given the error of its run; nil if it succeeded.
+// trialError returns why a trial failed, given the error of its run, or nil if the trial succeeded.
 func trialError(report *routertrial.Report, err error) error {
 	if err == nil && report.Violations() > 0 {
-		return &rulesBrokenError{report.Violations()}
+		return &ruleViolationsError{report.Violations()}
 	}
 	return err
 }
--- a/internal/router/cli/try_test.go
+++ b/internal/router/cli/try_test.go
@@ -20,15 +20,15 @@
 	"cresshub/internal/testbed/routertrial"
 )
 
-// asProgram is the environment variable that makes the test binary act as the program, so that trials can
-// start it.
-const asProgram = "FLEETCLI_TEST_AS_PROGRAM"
+// asProgramVariable is the environment variable that makes the test binary act as the program, so that trials
+// can start it.
+const asProgramVariable = "FLEETCLI_TEST_AS_PROGRAM"
 
 // testTimeout bounds every wait of a test; no result depends on how much of it is used.
 const testTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(asProgramVariable) != "" {
 		os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
@@ -38,18 +38,18 @@
 type trial struct {
 	*qt.C
 	command *exec.Cmd
-	folder  string // of all its files
-	out     bytes.Buffer
-	problem bytes.Buffer
+	tempDir string // directory of all its files
+	stdout  bytes.Buffer
+	stderr  bytes.Buffer
 	exited  chan error
 }
 
 func startTrial(c *qt.C, arguments ...string) *trial {
 	c.Helper()
-	trial := &trial{C: c, folder: c.TempDir(), exited: make(chan error, 1)}
+	trial := &trial{C: c, tempDir: c.TempDir(), exited: make(chan error, 1)}
 	trial.command = exec.Command(os.Args[0], append([]string{"try"}, arguments...)...)
-	trial.command.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+trial.folder)
-	trial.command.Stdout, trial.command.Stderr = &trial.out, &trial.problem
+	trial.command.Env = append(os.Environ(), asProgramVariable+"=1", "TMPDIR="+trial.tempDir)
+	trial.command.Stdout, trial.command.Stderr = &trial.stdout, &trial.stderr
 	c.Assert(trial.command.Start(), qt.IsNil)
 	go func() { trial.exited <- trial.command.Wait() }()
 	return trial
@@ -68,12 +68,12 @@
 		return 0
 	case <-time.After(testTimeout):
 		t.command.Process.Kill()
-		t.Fatal("the trial does not end")
+		t.Fatal("the trial did not exit within the timeout")
 		return -1
 	}
 }
 
-// processes returns the ids of the running processes whose settings are in the trial's folder.
+// processes returns the ids of the running processes whose settings are in the trial's directory.
 func (t *trial) processes() []string {
 	t.Helper()
 	var ids []string
@@ -81,28 +81,28 @@
 	t.Assert(err, qt.IsNil)
 	for _, path := range all {
 		environment, err := os.ReadFile(path)
-		if err == nil && strings.Contains(string(environment), "CRESSHUB_NODE_FILE="+t.folder) {
+		if err == nil && strings.Contains(string(environment), "CRESSHUB_NODE_FILE="+t.tempDir) {
 			ids = append(ids, filepath.Base(filepath.Dir(path)))
 		}
 	}
 	return ids
 }
 
-// awaitProcesses waits until so many processes run.
+// awaitProcesses waits until exactly count processes run.
 func (t *trial) awaitProcesses(count int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); len(t.processes()) != count; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d processes run, not %d\n%s", len(t.processes()), count, t.problem.String())
+			t.Fatalf("%d processes run, not %d\n%s", len(t.processes()), count, t.stderr.String())
 		}
 	}
 }
 
-// checkNothingIsLeft checks that the trial left neither processes nor files.
-func (t *trial) checkNothingIsLeft() {
+// checkNoLeftovers checks that the trial left neither processes nor files.
+func (t *trial) checkNoLeftovers() {
 	t.Helper()
 	t.Check(t.processes(), qt.HasLen, 0)
-	left, err := filepath.Glob(filepath.Join(t.folder, "*"))
+	left, err := filepath.Glob(filepath.Join(t.tempDir, "*"))
 	t.Check(err, qt.IsNil)
 	t.Check(left, qt.HasLen, 0)
 }
@@ -113,22 +113,22 @@
 	}
 	c := qt.New(t)
 	trial := startTrial(c, "--seconds", "2", "--json")
-	c.Assert(trial.wait(), qt.Equals, 0, qt.Commentf("%s", &trial.problem))
-	trial.checkNothingIsLeft()
+	c.Assert(trial.wait(), qt.Equals, 0, qt.Commentf("%s", &trial.stderr))
+	trial.checkNoLeftovers()
 	var report routertrial.Report
-	c.Assert(json.Unmarshal(trial.out.Bytes(), &report), qt.IsNil)
+	c.Assert(json.Unmarshal(trial.stdout.Bytes(), &report), qt.IsNil)
 	c.Assert(report.Rules, qt.HasLen, len(routerstandin.Rules))
 	c.Assert(report.Violations(), qt.Equals, 0)
 	for _, kind := range report.Kinds {
 		c.Check(kind.Asked > 0, qt.IsTrue)
 		c.Check(kind.Served(), qt.Equals, kind.Asked, qt.Commentf("%+v", kind))
 	}
-	c.Assert(trial.problem.String(), qt.Equals, "") // no progress line where no terminal shows it
+	c.Assert(trial.stderr.String(), qt.Equals, "") // no progress line where no terminal shows it
 }
 
-// TestInterruptLeavesNothing: an interrupt ends a trial at any moment, while its processes start, while
-// clients send, and during a fault.
-func TestInterruptLeavesNothing(t *testing.T) {
+// TestInterruptLeavesNoProcessesOrFiles: an interrupted trial exits and leaves nothing behind, whether its
+// processes are starting, its clients are sending or a fault is in progress.
+func TestInterruptLeavesNoProcessesOrFiles(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts several fleets")
 	}
@@ -151,8 +151,8 @@
 			time.Sleep(test.after) // until the moment of the interrupt, for which there is no event
 			c.Assert(trial.command.Process.Signal(syscall.SIGINT), qt.IsNil)
 			c.Assert(trial.wait(), qt.Equals, 1)
-			c.Assert(trial.problem.String(), qt.Contains, "interrupted")
-			trial.checkNothingIsLeft()
+			c.Assert(trial.stderr.String(), qt.Contains, "interrupted")
+			trial.checkNoLeftovers()
 		})
 	}
 }
@@ -203,8 +203,8 @@
 		"--rate=9999":    "(?s).*--rate 9999 is out of range; give 1 to 500.*",
 		"--trouble=rain": "(?s).*--trouble must be one of .*",
 	} {
-		code, _, problem := run("try", flag)
+		code, _, errorOutput := run("try", flag)
 		c.Check(code, qt.Equals, 2, qt.Commentf(flag))
-		c.Check(problem, qt.Matches, want)
+		c.Check(errorOutput, qt.Matches, want)
 	}
 }
