--- a/cmd/cresshub/bench_test.go
+++ b/cmd/cresshub/bench_test.go
@@ -65,8 +65,8 @@
 }
 
 // BenchmarkRequest measures the cost of a request sent directly to the server, through a net/http
-// ReverseProxy, and through a cresshub proxy in this process (ingress, dispatch and upstream), with the request
-// log off and on, and with the ledger on.
+// ReverseProxy, and through a cresshub proxy in this process (ingress, dispatch and upstream), with the
+// request log off and on, and with the ledger on.
 func BenchmarkRequest(b *testing.B) {
 	upstream := startFastServer(b)
 	b.Run("direct", func(b *testing.B) { sendRequests(b, upstream.Address) })
