--- a/internal/proxy/cli/owner.go
+++ b/internal/proxy/cli/owner.go
@@ -68,7 +68,7 @@
 		if l.FromOwner {
 			from = "the owner"
 		}
-		w.printf("\nthis proxy uses the list of %s; it saw the last list of an owner %d ms ago\n", from, l.AgeMS)
+		w.printf("\nthe list here comes from %s; an owner published it %d ms ago\n", from, l.AgeMS)
 	}
 	stats := &p.Stats
 	w.println("\nLEASES HERE\tLOST\tGIVEN BACK\tCALLS\tREFUSED\tFAILED\tENTRIES\tREPEATED\tRESUMED")
